--- a/bench/chaos/run.py
+++ b/bench/chaos/run.py
@@ -78,12 +78,18 @@
     )
 
 
-async def run_plan(plan: Plan) -> Evidence:
-    """Run a plan on a new cluster and gather the evidence."""
+async def run_plan(plan: Plan, programs: Sequence[Sequence[str]] = ()) -> Evidence:
+    """Run a plan on a new cluster and gather the evidence.
+
+    Args:
+        plan: What was drawn.
+        programs: Programs that the VMs run in turn; this checkout's where empty.
+    """
     cluster = await Cluster.start(
         plan.deployment.name,
         vms_per_data_centre=VMS_PER_DATA_CENTRE,
         edit=_shrink_engines,
+        programs=programs,
     )
     print(f"logs: {cluster.folder}")
     async with cluster:
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -11,8 +11,10 @@
 import shutil
 import sys
 import tempfile
+from collections import deque
 from contextlib import suppress
 from dataclasses import dataclass
+from itertools import cycle
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -58,6 +60,8 @@
         service_ms: Service time of plain services.
         engine_flags: Flags added to each engine's command.
         serve: Program that runs a VM.
+        programs: Programs that a VM's starts run in turn, in place of that one.
+            Neighbouring VMs begin with different ones.
         start_vms: Whether VMs are started, or left to ``restart``.
     """
 
@@ -71,6 +75,7 @@
     service_ms: int = _DEFAULT_SERVICE_MS
     engine_flags: Sequence[str] = ()
     serve: Sequence[str] = _SERVE
+    programs: Sequence[Sequence[str]] = ()
     start_vms: bool = True
 
 
@@ -322,7 +327,12 @@
             *self.options.extra_flags,
         )
         log_path = self.folder / f"{place.vm_id}.log"
-        vm = Vm(place, command, log_path, child_environment(), self._session)
+        programs = None
+        if self.options.programs:
+            turns = deque(self.options.programs)
+            turns.rotate(-len(self.vms))
+            programs = cycle(turns)
+        vm = Vm(place, command, log_path, child_environment(), self._session, programs)
         self._processes.append(vm)
         return vm
 
--- a/bench/vms.py
+++ b/bench/vms.py
@@ -16,9 +16,10 @@
 from bench.processes import BenchError, ManagedProcess
 
 if TYPE_CHECKING:
-    from collections.abc import Mapping, Sequence
+    from collections.abc import Iterator, Mapping, Sequence
     from pathlib import Path
 
+_VERB = "serve"
 _READY_POLL_S = 0.05
 _PROBE_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 
@@ -54,6 +55,7 @@
         log_path: File that takes its output.
         environment: Variables of the process.
         session: HTTP session of the cluster.
+        programs: What its starts run in turn, in place of the command's program.
     """
 
     def __init__(
@@ -63,14 +65,23 @@
         log_path: Path,
         environment: Mapping[str, str],
         session: aiohttp.ClientSession,
+        programs: Iterator[Sequence[str]] | None = None,
     ) -> None:
         super().__init__(place.vm_id, command, log_path, environment)
+        self._programs = programs
         self.place = place
         self.vm_id = place.vm_id
         self.data_centre = place.data_centre
         self.url = f"http://127.0.0.1:{place.port}"
         self._session = session
 
+    def spawn(self) -> None:
+        """Start the process, with the next program if there are several."""
+        if self._programs is not None:
+            flags = self.command[self.command.index(_VERB) :]
+            self.command = (*next(self._programs), *flags)
+        super().spawn()
+
     async def restart(self, *, ready: bool = True) -> None:
         """End the process if it runs, start it anew and await readiness."""
         self.kill()
--- a/standins/routed/vm.py
+++ b/standins/routed/vm.py
@@ -14,12 +14,15 @@
 from standins.listening import reserve_port
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable, Mapping
+    from collections.abc import Iterable, Mapping, Sequence
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 GIVE_UP_S = 20.0
 """Only ends what would hang; nothing is measured against it."""
 
+PROGRAM = (sys.executable, "-m", "pomelolane")
+"""The program of this checkout."""
+
 _STEP_S = 0.02
 
 
@@ -31,6 +34,7 @@
         store_address: ``ip:port`` of the metadata store.
         data_centre: Where it stands.
         bounds: Bounds that it is told of, beside the time for a planned stop.
+        program: How it is started; may change between two starts.
     """
 
     def __init__(
@@ -39,7 +43,9 @@
         store_address: str,
         data_centre: str = "hall-a",
         bounds: Mapping[str, float] | None = None,
+        program: Sequence[str] = PROGRAM,
     ) -> None:
+        self.program = tuple(program)
         self.vm_id = f"vm-{number}"
         self.ip = f"127.0.9.{number}"
         self.folder = tempfile.TemporaryDirectory()
@@ -74,9 +80,7 @@
         }
         with self.log.open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "pomelolane",
+                *self.program,
                 "platform",
                 stdout=log,
                 stderr=log,
