--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -25,7 +25,7 @@
 from pomelolane.forwarding.usenews import UseNews
 from pomelolane.http.listener import Listener, listening_socket
 from pomelolane.logs import log_event
-from pomelolane.membership import make_member, reads_for_others
+from pomelolane.membership import is_store_reader, make_member
 from pomelolane.quarantine import CrashNews, CrashWatch, Quarantine, RecordKeeper
 from pomelolane.rollouts import RolloutBounds, Rollouts
 
@@ -174,7 +174,7 @@
         self.crash_record = RecordKeeper(
             crash_record,
             self.quarantine,
-            lambda: reads_for_others(
+            lambda: is_store_reader(
                 options.vm_id, options.data_centre, self.member.view()
             ),
             self._crash_news.pass_on,
--- a/src/pomelolane/membership/__init__.py
+++ b/src/pomelolane/membership/__init__.py
@@ -8,7 +8,7 @@
 from pomelolane.membership.addresses import AddressBook
 from pomelolane.membership.keys import ClusterKeys, cluster_keys_from_settings
 from pomelolane.membership.member import Member, make_member
-from pomelolane.membership.readers import reads_for_others
+from pomelolane.membership.readers import is_store_reader
 from pomelolane.membership.recorded import RecordedMarks
 from pomelolane.membership.rendezvous import choose, choose_several, weight
 from pomelolane.membership.transport import ZmqTransport, make_transport
@@ -22,8 +22,8 @@
     "choose",
     "choose_several",
     "cluster_keys_from_settings",
+    "is_store_reader",
     "make_member",
     "make_transport",
-    "reads_for_others",
     "weight",
 ]
--- a/src/pomelolane/membership/readers.py
+++ b/src/pomelolane/membership/readers.py
@@ -1,4 +1,4 @@
-"""Which VM of a data centre reads for the others."""
+"""Chooses the VM that reads the store on behalf of its data centre."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
     from pomelolane.ports import View
 
 
-def reads_for_others(vm_id: str, data_centre: str, view: View) -> bool:
-    """Tell whether a VM is the one that reads the store for its data centre.
+def is_store_reader(vm_id: str, data_centre: str, view: View) -> bool:
+    """Return whether a VM is the one that reads the store for its data centre.
 
-    Nobody depends on it alone: who hears nothing for a while reads itself.
+    It is no single point of failure: a VM that receives nothing from it for a
+    while reads the store itself.
     """
     peers = [one for one in view.peers.values() if one.data_centre == data_centre]
     staying = [peer for peer in peers if not peer.draining]
-    # Where all have just started, one of them reads for those that start.
+    # While no VM is ready yet, as after a common start, any of them may be chosen.
     able = [peer for peer in staying if peer.ready] or staying
     return vm_id == min((one.vm_id for one in able), default=vm_id)
--- a/src/pomelolane/platform/sharing.py
+++ b/src/pomelolane/platform/sharing.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from pomelolane.membership import reads_for_others
+from pomelolane.membership import is_store_reader
 from pomelolane.messages import RecordChange, WatchedChanges
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
     def is_reader(self) -> bool:
         """Whether this VM reads for the others of its data centre."""
         view = self._membership.view()
-        return reads_for_others(self._vm_id, self._data_centre, view)
+        return is_store_reader(self._vm_id, self._data_centre, view)
 
     def pass_on(
         self, after: int, version: int, rows: Iterable[StoredRow], state_hash: int
--- a/tests/steps/quarantine_sharing_steps.py
+++ b/tests/steps/quarantine_sharing_steps.py
@@ -7,7 +7,7 @@
 
 from bench.processes import wait_until
 from pomelolane.clock import MonotonicClock, WallClock
-from pomelolane.membership import reads_for_others
+from pomelolane.membership import is_store_reader
 from pomelolane.platform.crashrecord import StoreCrashRecord
 from pomelolane.platform.storeclient import StoreClient
 from pomelolane.ports import Peer, View, Write
@@ -59,7 +59,7 @@
         self.keeper = RecordKeeper(
             StoreCrashRecord(self.client),
             self.quarantine,
-            lambda: reads_for_others(name, DATA_CENTRE, self.view()),
+            lambda: is_store_reader(name, DATA_CENTRE, self.view()),
             news.pass_on,
         )
         loop = asyncio.get_running_loop()
