--- a/bench/member_process.py
+++ b/bench/member_process.py
@@ -15,7 +15,7 @@
 
 from pomelolane.addresses import Seed  # noqa: TC001 - msgspec reads it
 from pomelolane.membership import ClusterKeys, make_member
-from pomelolane.membership.keys import SHARED_NAME
+from pomelolane.membership.keys import SHARED_KEY_NAME
 
 _SAMPLE_S = 1.0
 _MIB = 1024 * 1024
@@ -105,7 +105,7 @@
     if keys is None:
         return None
     public = keys.public.encode()
-    return ClusterKeys(public, keys.private.encode(), {SHARED_NAME: public})
+    return ClusterKeys(public, keys.private.encode(), {SHARED_KEY_NAME: public})
 
 
 if __name__ == "__main__":
--- a/src/pomelolane/membership/contacts.py
+++ b/src/pomelolane/membership/contacts.py
@@ -15,9 +15,9 @@
     from pomelolane.addresses import Seed
     from pomelolane.membership.addresses import AddressBook
 
-PROBE_MS = 1000.0
-PROBE_MAX_MS = 30_000.0
-FORGET_MS = 600_000.0
+PROBE_INTERVAL_MS = 1000.0
+PROBE_INTERVAL_MAX_MS = 30_000.0
+CONTACT_TIMEOUT_MS = 600_000.0
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     certain: bool
     since_ms: float = 0.0
     next_probe_ms: float = 0.0
-    interval_ms: float = PROBE_MS
+    interval_ms: float = PROBE_INTERVAL_MS
 
 
 class Contacts:
@@ -97,7 +97,7 @@
         if contact is not None:
             contact.certain = True
             contact.since_ms = now_ms
-            contact.interval_ms = PROBE_MS
+            contact.interval_ms = PROBE_INTERVAL_MS
 
     def data_centres(self) -> set[str]:
         """Return all data centres that are heard of."""
@@ -123,7 +123,7 @@
         old = [
             vm_id
             for vm_id, contact in self._contacts.items()
-            if not contact.seed and now_ms - contact.since_ms > FORGET_MS
+            if not contact.seed and now_ms - contact.since_ms > CONTACT_TIMEOUT_MS
         ]
         for vm_id in old:
             del self._contacts[vm_id]
@@ -133,4 +133,4 @@
     def _note_probe(self, contact: _Contact, now_ms: float) -> None:
         contact.next_probe_ms = now_ms + contact.interval_ms
         if not contact.certain:
-            contact.interval_ms = min(contact.interval_ms * 2, PROBE_MAX_MS)
+            contact.interval_ms = min(contact.interval_ms * 2, PROBE_INTERVAL_MAX_MS)
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -11,7 +11,7 @@
 
 from pomelolane.events import DELEGATE_ROLE
 from pomelolane.logs import log_event
-from pomelolane.membership.digests import TIMEOUT_MS, DigestTable, newer_state
+from pomelolane.membership.digests import DIGEST_TIMEOUT_MS, DigestTable, newer_state
 from pomelolane.membership.hashing import hash_of_digest
 from pomelolane.membership.heartbeat import INTERVAL_MS
 from pomelolane.membership.remotes import RemoteMembers
@@ -25,7 +25,7 @@
     import msgspec
 
     from pomelolane.membership.context import MemberContext
-    from pomelolane.membership.digests import Merged
+    from pomelolane.membership.digests import MergedDigest
     from pomelolane.messages import Heartbeat
     from pomelolane.ports import Peer
 
@@ -33,7 +33,7 @@
 PROBES = 3
 """VMs of a silent data centre that are tried at one beat."""
 
-INHERITED = ""
+INHERITED_SOURCE = ""
 """Source of what a new delegate knew before it heard anything directly."""
 
 
@@ -70,11 +70,11 @@
         self._replied_ms: dict[str, float] = {}
         self._last_hash = -1
         self._beats = 0
-        self._lists_until_ms = 0.0
+        self._advertise_until_ms = 0.0
         self.is_delegate = False
-        context.transport.subscribe(Digest, self._take_digest)
-        context.transport.subscribe(DigestPulse, self._take_pulse)
-        context.transport.subscribe(DigestWanted, self._take_wanted)
+        context.transport.subscribe(Digest, self._handle_digest)
+        context.transport.subscribe(DigestPulse, self._handle_pulse)
+        context.transport.subscribe(DigestWanted, self._handle_wanted)
 
     # --- what is known ------------------------------------------------------
 
@@ -88,22 +88,22 @@
         for data_centre in self.data_centres():
             for state in self._states(data_centre).values():
                 peers[state.vm_id] = peer_from_state(state, data_centre)
-        listed_ms = self._direct.listed_ms()
-        for vm_id, at_ms in self._relayed.listed_ms().items():
+        listed_ms = self._direct.last_listed_ms()
+        for vm_id, at_ms in self._relayed.last_listed_ms().items():
             listed_ms[vm_id] = max(at_ms, listed_ms.get(vm_id, at_ms))
-        gone = self._direct.take_gone() | self._relayed.take_gone()
+        gone = self._direct.pop_unlisted() | self._relayed.pop_unlisted()
         now_ms = self._context.clock.now_ms()
         data_centres = self.data_centres()
         return self._members.update(peers, listed_ms, data_centres, gone, now_ms)
 
-    def listing(self) -> dict[str, int]:
+    def remote_hashes(self) -> dict[str, int]:
         """Return the hashes of the digests heard directly, as a delegate.
 
         One that gave up the role goes on for a while, until its successors
         have heard the other data centres themselves.
         """
         now_ms = self._context.clock.now_ms()
-        if not self.is_delegate and now_ms >= self._lists_until_ms:
+        if not self.is_delegate and now_ms >= self._advertise_until_ms:
             return {}
         tables = self._direct
         return {each: tables.merged(each).digest_hash for each in tables.data_centres()}
@@ -113,11 +113,11 @@
         return {
             endpoint_id
             for data_centre in self.data_centres()
-            for merged in self._known(data_centre)
+            for merged in self._merged_digests(data_centre)
             for endpoint_id in merged.digest.leaving
         }
 
-    def delegates_elsewhere(self) -> list[str]:
+    def remote_delegates(self) -> list[str]:
         """Return the delegates of the other data centres that are known."""
         return [
             vm_id
@@ -141,9 +141,9 @@
             DELEGATE_ROLE, data_centre=self._context.data_centre, held=is_delegate
         )
         if is_delegate:
-            self._inherit(now_ms)
+            self._copy_relayed_digests(now_ms)
         else:
-            self._lists_until_ms = now_ms + TIMEOUT_MS
+            self._advertise_until_ms = now_ms + DIGEST_TIMEOUT_MS
         self._sent.clear()
         self._last_hash = -1
         return True
@@ -154,10 +154,10 @@
         relayed = self._relayed.expire(now_ms)
         return direct or relayed or self._members.has_overdue(now_ms)
 
-    def excuse(self, now_ms: float) -> None:
+    def restart_timeouts(self, now_ms: float) -> None:
         """Count everything as heard now, after this VM itself has paused."""
-        self._direct.excuse(now_ms)
-        self._relayed.excuse(now_ms)
+        self._direct.restart_timeouts(now_ms)
+        self._relayed.restart_timeouts(now_ms)
 
     def beat(self, now_ms: float) -> None:
         """As a delegate, send a sign of life to the other data centres."""
@@ -167,7 +167,7 @@
         digest = self.own()
         digest_hash = hash_of_digest(digest)
         self._last_hash = digest_hash
-        for vm_id in self._targets(now_ms):
+        for vm_id in self._recipients(now_ms):
             self._send_digest(vm_id, digest, digest_hash)
 
     def publish(self) -> None:
@@ -179,7 +179,7 @@
         if digest_hash == self._last_hash:
             return
         self._last_hash = digest_hash
-        for vm_id in self.delegates_elsewhere():
+        for vm_id in self.remote_delegates():
             self._send_digest(vm_id, digest, digest_hash)
 
     def own(self, *, reply: bool = False) -> Digest:
@@ -200,7 +200,7 @@
             reply=reply,
         )
 
-    def take_listing(self, heartbeat: Heartbeat) -> None:
+    def record_remote_hashes(self, heartbeat: Heartbeat) -> None:
         """Take note of the digests that a VM of the own data centre has."""
         vm_id = heartbeat.vm_id
         heard_ms = self._context.heard_ms()
@@ -215,7 +215,7 @@
 
     # --- messages -----------------------------------------------------------
 
-    def _take_digest(self, sender: str, digest: Digest) -> None:
+    def _handle_digest(self, sender: str, digest: Digest) -> None:
         context = self._context
         now_ms = context.clock.now_ms()
         for state in digest.members:
@@ -231,9 +231,9 @@
         self._on_digest(sender, digest)
         self._on_change()
         if not local and not digest.reply:
-            self._correct(sender, now_ms)
+            self._send_correction(sender, now_ms)
 
-    def _take_pulse(self, sender: str, pulse: DigestPulse) -> None:
+    def _handle_pulse(self, sender: str, pulse: DigestPulse) -> None:
         context = self._context
         if pulse.data_centre == context.data_centre:
             return
@@ -242,9 +242,9 @@
         )
         if not known:
             context.transport.send(sender, DigestWanted(pulse.data_centre))
-        self._correct(sender, context.clock.now_ms())
+        self._send_correction(sender, context.clock.now_ms())
 
-    def _take_wanted(self, sender: str, wanted: DigestWanted) -> None:
+    def _handle_wanted(self, sender: str, wanted: DigestWanted) -> None:
         context = self._context
         if wanted.data_centre == context.data_centre:
             context.transport.send(sender, self.own())
@@ -253,7 +253,7 @@
         if merged is not None and sender in context.table:
             context.transport.send(sender, merged.digest)
 
-    def _correct(self, sender: str, now_ms: float) -> None:
+    def _send_correction(self, sender: str, now_ms: float) -> None:
         # Whoever takes this VM for a delegate learns who is one, but not at
         # every message, and an answer is never answered.
         if self.is_delegate:
@@ -272,7 +272,7 @@
         if self._context.transport.send(vm_id, message):
             self._sent[vm_id] = digest_hash
 
-    def _targets(self, now_ms: float) -> list[str]:
+    def _recipients(self, now_ms: float) -> list[str]:
         # The delegates of a data centre take turns: each hears two others of
         # every data centre once a second, which halves what a delegate sends.
         targets = []
@@ -294,12 +294,12 @@
 
     def _states(self, data_centre: str) -> dict[str, MemberState]:
         states: dict[str, MemberState] = {}
-        for merged in self._known(data_centre):
+        for merged in self._merged_digests(data_centre):
             for state in merged.digest.members:
                 states[state.vm_id] = newer_state(states.get(state.vm_id), state)
         return states
 
-    def _known(self, data_centre: str) -> list[Merged]:
+    def _merged_digests(self, data_centre: str) -> list[MergedDigest]:
         relayed = self._relayed.merged(data_centre)
         direct = self._direct.merged(data_centre)
         # Others write to a plain member by mistake only, and not regularly.
@@ -307,11 +307,11 @@
             direct = None
         return [each for each in (relayed, direct) if each is not None]
 
-    def _inherit(self, now_ms: float) -> None:
+    def _copy_relayed_digests(self, now_ms: float) -> None:
         for data_centre in self._relayed.data_centres():
             if data_centre not in self._direct.data_centres():
                 merged = self._relayed.merged(data_centre)
-                self._direct.put(INHERITED, merged.digest, now_ms)
+                self._direct.put(INHERITED_SOURCE, merged.digest, now_ms)
 
     def _own_state(self) -> MemberState:
         context = self._context
--- a/src/pomelolane/membership/digests.py
+++ b/src/pomelolane/membership/digests.py
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-TIMEOUT_MS = 2000.0
-MISSED_BEAT_MS = 1250.0
+DIGEST_TIMEOUT_MS = 2000.0
+MISSED_DIGEST_MS = 1250.0
 """A source that takes its turn once a second has missed it by then."""
 
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Merged:
+class MergedDigest:
     """What is known of one data centre.
 
     Attributes:
@@ -51,9 +51,9 @@
     def __init__(self, *, from_members: bool) -> None:
         self._from_members = from_members
         self._entries: dict[str, dict[str, _Entry]] = {}
-        self._gone: set[str] = set()
+        self._unlisted: set[str] = set()
         self._dropped_ms: dict[str, float] = {}
-        self._merged: dict[str, Merged] = {}
+        self._merged: dict[str, MergedDigest] = {}
 
     def data_centres(self) -> tuple[str, ...]:
         """Return the data centres that are known."""
@@ -68,7 +68,7 @@
         entry = _Entry(digest, hash_of_digest(digest), now_ms)
         entries = self._entries.setdefault(digest.data_centre, {})
         if source in entries:
-            self._gone |= _names(entries[source].digest) - _names(digest)
+            self._unlisted |= _names(entries[source].digest) - _names(digest)
         entries[source] = entry
         self._merged.pop(digest.data_centre, None)
 
@@ -104,19 +104,19 @@
             (data_centre, source)
             for data_centre, entries in self._entries.items()
             for source, entry in entries.items()
-            if now_ms - entry.heard_ms > TIMEOUT_MS
-            or self._is_disowned(source, entries, now_ms)
+            if now_ms - entry.heard_ms > DIGEST_TIMEOUT_MS
+            or self._is_unlisted_by_fresh_source(source, entries, now_ms)
         ]
         for data_centre, source in silent:
             self._drop(data_centre, source)
         self._dropped_ms = {
             vm_id: at_ms
             for vm_id, at_ms in self._dropped_ms.items()
-            if now_ms - at_ms <= TIMEOUT_MS
+            if now_ms - at_ms <= DIGEST_TIMEOUT_MS
         }
         return bool(silent)
 
-    def excuse(self, now_ms: float) -> None:
+    def restart_timeouts(self, now_ms: float) -> None:
         """Count all sources as heard now, after this VM itself has paused."""
         for entries in self._entries.values():
             for entry in entries.values():
@@ -129,10 +129,10 @@
             for entries in self._entries.values()
         )
 
-    def listed_ms(self) -> dict[str, float]:
+    def last_listed_ms(self) -> dict[str, float]:
         """Return when a source that lists it was last heard, for each VM.
 
-        Sources that were dropped within :data:`TIMEOUT_MS` count as well.
+        Sources that were dropped within :data:`DIGEST_TIMEOUT_MS` count as well.
         """
         listed_ms = dict(self._dropped_ms)
         for entries in self._entries.values():
@@ -142,28 +142,28 @@
                     listed_ms[vm_id] = max(before_ms, entry.heard_ms)
         return listed_ms
 
-    def take_gone(self) -> set[str]:
+    def pop_unlisted(self) -> set[str]:
         """Return the VMs that a source has ceased to list since the last call."""
-        gone, self._gone = self._gone, set()
-        return gone
+        unlisted, self._unlisted = self._unlisted, set()
+        return unlisted
 
-    def merged(self, data_centre: str) -> Merged | None:
+    def merged(self, data_centre: str) -> MergedDigest | None:
         """Return what is known of a data centre."""
         if data_centre not in self._entries:
             return None
         if data_centre not in self._merged:
             entries = self._entries[data_centre].values()
             digest = _merge([entry.digest for entry in entries])
-            self._merged[data_centre] = Merged(digest, hash_of_digest(digest))
+            self._merged[data_centre] = MergedDigest(digest, hash_of_digest(digest))
         return self._merged[data_centre]
 
-    def _is_disowned(
+    def _is_unlisted_by_fresh_source(
         self, source: str, entries: Mapping[str, _Entry], now_ms: float
     ) -> bool:
         # A silent source alone is not enough, nor what another one says: after
         # a partition two delegates may each call the other gone.
         def is_fresh(entry: _Entry) -> bool:
-            return now_ms - entry.heard_ms <= MISSED_BEAT_MS
+            return now_ms - entry.heard_ms <= MISSED_DIGEST_MS
 
         if not self._from_members or is_fresh(entries[source]):
             return False
--- a/src/pomelolane/membership/envelope.py
+++ b/src/pomelolane/membership/envelope.py
@@ -18,7 +18,7 @@
 
     from pomelolane.ports import Clock
 
-FORGET_SENDER_MS = 60_000
+SENDER_TIMEOUT_MS = 60_000
 """Silence after which a sender's numbers are forgotten.
 
 A VM replaced on a machine whose wall clock is behind would otherwise never be
@@ -92,13 +92,13 @@
         """
         now_ms = self._clock.now_ms()
         known = self._senders.get(vm_id)
-        if known is not None and now_ms - known.heard_ms < FORGET_SENDER_MS:
+        if known is not None and now_ms - known.heard_ms < SENDER_TIMEOUT_MS:
             _check_newer(known, envelope)
         self._senders[vm_id] = _Sender(envelope.incarnation, envelope.sequence, now_ms)
 
     def forget_silent(self) -> None:
         """Free the memory of senders that have long been silent."""
-        limit_ms = self._clock.now_ms() - FORGET_SENDER_MS
+        limit_ms = self._clock.now_ms() - SENDER_TIMEOUT_MS
         silent = [
             name for name, known in self._senders.items() if known.heard_ms < limit_ms
         ]
--- a/src/pomelolane/membership/heartbeat.py
+++ b/src/pomelolane/membership/heartbeat.py
@@ -48,7 +48,7 @@
         record = self._records.get(vm_id)
         return record.heartbeat if record else None
 
-    def take(self, heartbeat: Heartbeat, now_ms: float) -> bool:
+    def put(self, heartbeat: Heartbeat, now_ms: float) -> bool:
         """Take note of a full heartbeat.
 
         Returns:
@@ -64,7 +64,7 @@
         self._records[heartbeat.vm_id] = _Record(heartbeat, state_hash, now_ms)
         return not known or known.heartbeat.incarnation < heartbeat.incarnation
 
-    def pulse(self, vm_id: str, state_hash: int, now_ms: float) -> bool:
+    def confirm(self, vm_id: str, state_hash: int, now_ms: float) -> bool:
         """Take note of a pulse; False where its content is not known."""
         record = self._records.get(vm_id)
         if record is None:
@@ -83,7 +83,7 @@
             del self._records[vm_id]
         return silent
 
-    def excuse(self, now_ms: float) -> None:
+    def restart_timeouts(self, now_ms: float) -> None:
         """Count all VMs as heard now, after this VM itself has paused."""
         for record in self._records.values():
             record.heard_ms = now_ms
--- a/src/pomelolane/membership/keys.py
+++ b/src/pomelolane/membership/keys.py
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-SHARED_NAME = "*"
+SHARED_KEY_NAME = "*"
 """Stands in the table for every VM that is not listed by name."""
 
 UNLISTED_KEY = "key not listed"
@@ -50,7 +50,7 @@
     Attributes:
         public_key: Own public key.
         private_key: Own private key.
-        allowed: Public keys by VM id, or by :data:`SHARED_NAME`.
+        allowed: Public keys by VM id, or by :data:`SHARED_KEY_NAME`.
     """
 
     public_key: bytes
@@ -59,7 +59,7 @@
 
     def key_of(self, vm_id: str) -> bytes:
         """Return the key that a VM has to prove, empty where it has none."""
-        return self.allowed.get(vm_id) or self.allowed.get(SHARED_NAME, b"")
+        return self.allowed.get(vm_id) or self.allowed.get(SHARED_KEY_NAME, b"")
 
 
 def cluster_keys_from_settings(
@@ -84,7 +84,7 @@
     allowed: dict[str, bytes] = {}
     for item in items:
         name, _, key_hex = item.rpartition("=")
-        name = name or SHARED_NAME
+        name = name or SHARED_KEY_NAME
         if name in allowed:
             raise SettingError("--cluster-keys", item, _CLUSTER_ALLOWED)
         allowed[name] = _z85_from_hex("--cluster-keys", key_hex)
--- a/src/pomelolane/membership/leaving.py
+++ b/src/pomelolane/membership/leaving.py
@@ -1,7 +1,7 @@
 """Endpoints known to be leaving, by whom, and until when that holds.
 
 Each VM repeats only the marks that it made itself, so a mark ends when its
-makers take it back; it outlives a maker that died by :data:`HOLD_MS`.
+makers take it back; it outlives a maker that died by :data:`MARK_TIMEOUT_MS`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-HOLD_MS = 30_000.0
+MARK_TIMEOUT_MS = 30_000.0
 
 
 class LeavingMarks:
@@ -52,13 +52,15 @@
 
     def has_overdue(self, now_ms: float) -> bool:
         """Tell whether :meth:`expire` has anything to look at."""
-        return any(now_ms - at_ms > HOLD_MS for at_ms in self._known.values())
+        return any(now_ms - at_ms > MARK_TIMEOUT_MS for at_ms in self._known.values())
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
         """Drop the marks that nobody repeats and return them."""
         self._known.update(dict.fromkeys(self._own, now_ms))
         ended = tuple(
-            each for each, at_ms in self._known.items() if now_ms - at_ms > HOLD_MS
+            each
+            for each, at_ms in self._known.items()
+            if now_ms - at_ms > MARK_TIMEOUT_MS
         )
         for each in ended:
             del self._known[each]
--- a/src/pomelolane/membership/departures.py
+++ b/src/pomelolane/membership/leaving_broadcast.py
@@ -17,10 +17,10 @@
     from pomelolane.membership.context import MemberContext
     from pomelolane.membership.delegate import DigestExchange
 
-HEARD_SOURCE = "members"
+MEMBERS_SOURCE = "members"
 
 
-class Departures:
+class LeavingBroadcast:
     """Makes, passes on and follows marks of leaving endpoints.
 
     Args:
@@ -62,7 +62,7 @@
             *(heartbeat.leaving for heartbeat in context.table.heartbeats())
         )
         if repeated:
-            self._tell(context.marks.refresh(repeated, now_ms), HEARD_SOURCE)
+            self._tell(context.marks.refresh(repeated, now_ms), MEMBERS_SOURCE)
         for endpoint_id in context.marks.expire(now_ms):
             for callback in self._on_returned:
                 callback(endpoint_id)
@@ -84,7 +84,7 @@
             self._context.transport.send(heartbeat.vm_id, message)
 
     def _send_elsewhere(self, message: EndpointLeaving) -> None:
-        for vm_id in self._exchange.delegates_elsewhere():
+        for vm_id in self._exchange.remote_delegates():
             self._context.transport.send(vm_id, message)
 
     def _tell(self, endpoint_ids: Iterable[str], source: str) -> None:
--- a/src/pomelolane/membership/listing.py
+++ b/src/pomelolane/membership/listing.py
@@ -15,7 +15,7 @@
 
     from pomelolane.membership.context import MemberContext
     from pomelolane.membership.delegate import DigestExchange
-    from pomelolane.membership.departures import Departures
+    from pomelolane.membership.leaving_broadcast import LeavingBroadcast
     from pomelolane.ports import ListedVm, VmList
 
 POLL_S = 1.0
@@ -29,7 +29,7 @@
         vm_list: The platform's list.
         context: The member's parts.
         exchange: Whether this VM is a delegate.
-        departures: Where endpoints are marked.
+        broadcast: Where endpoints are marked.
         is_endpoint: Whether a listed id is that of an endpoint, as far as the
             settings are known.
         on_new: Called when the list names VMs that nobody has spoken of yet.
@@ -40,14 +40,14 @@
         vm_list: VmList,
         context: MemberContext,
         exchange: DigestExchange,
-        departures: Departures,
+        broadcast: LeavingBroadcast,
         is_endpoint: Callable[[str], bool],
         on_new: Callable[[], None],
     ) -> None:
         self._vm_list = vm_list
         self._context = context
         self._exchange = exchange
-        self._departures = departures
+        self._leaving_broadcast = broadcast
         self._is_endpoint = is_endpoint
         self._on_new = on_new
 
@@ -89,7 +89,7 @@
         marks = self._context.marks
         for endpoint_id in sorted(leaving - set(marks.own)):
             if not self._is_vm(endpoint_id):
-                self._departures.mark(endpoint_id, PLATFORM_SOURCE)
+                self._leaving_broadcast.mark(endpoint_id, PLATFORM_SOURCE)
         marked = set(marks.own_of_source(PLATFORM_SOURCE))
         for endpoint_id in marked - leaving:
             marks.clear_own(endpoint_id)
--- a/src/pomelolane/membership/local.py
+++ b/src/pomelolane/membership/local.py
@@ -28,7 +28,7 @@
         context: The member's parts.
         remote: Returns the hash of each other data centre's digest.
         on_new: Called with each VM that is new or was started again.
-        on_heard: Called with the sender's last heartbeat at each sign of life
+        on_heartbeat: Called with the sender's last heartbeat at each sign of life
             and whether it has just come in full.
     """
 
@@ -37,17 +37,17 @@
         context: MemberContext,
         remote: Callable[[], Mapping[str, int]],
         on_new: Callable[[str], None],
-        on_heard: Callable[[Heartbeat, bool], None],
+        on_heartbeat: Callable[[Heartbeat, bool], None],
     ) -> None:
         self._context = context
         self._remote = remote
         self._on_new = on_new
-        self._on_heard = on_heard
+        self._on_heartbeat = on_heartbeat
         self._sequence = 0
         self._announced = -1
-        context.transport.subscribe(Heartbeat, self._take_heartbeat)
-        context.transport.subscribe(Pulse, self._take_pulse)
-        context.transport.subscribe(HeartbeatWanted, self._take_wanted)
+        context.transport.subscribe(Heartbeat, self._handle_heartbeat)
+        context.transport.subscribe(Pulse, self._handle_pulse)
+        context.transport.subscribe(HeartbeatWanted, self._handle_wanted)
 
     def own(self) -> Heartbeat:
         """Return this VM's heartbeat as it stands."""
@@ -89,7 +89,7 @@
         self._broadcast(heartbeat)
         return True
 
-    def introduce(self, vm_id: str) -> None:
+    def send_full(self, vm_id: str) -> None:
         """Send the own heartbeat in full to one VM."""
         self._context.transport.send(vm_id, self.own())
 
@@ -97,31 +97,31 @@
         for heartbeat in self._context.table.heartbeats():
             self._context.transport.send(heartbeat.vm_id, message)
 
-    def _take_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
         context = self._context
         foreign = heartbeat.data_centre != context.data_centre
         if foreign or heartbeat.vm_id != sender:
             return
         heard_ms = context.heard_ms()
-        is_new = context.table.take(heartbeat, heard_ms)
+        is_new = context.table.put(heartbeat, heard_ms)
         context.contacts.learn(
             sender, heartbeat.data_centre, heartbeat.address, heard_ms
         )
         context.contacts.heard(sender, heard_ms)
         if is_new:
             self._on_new(sender)
-        self._on_heard(heartbeat, True)
+        self._on_heartbeat(heartbeat, True)
 
-    def _take_pulse(self, sender: str, pulse: Pulse) -> None:
+    def _handle_pulse(self, sender: str, pulse: Pulse) -> None:
         context = self._context
-        known = context.table.pulse(sender, pulse.state_hash, context.heard_ms())
+        known = context.table.confirm(sender, pulse.state_hash, context.heard_ms())
         if not known:
             context.transport.send(sender, HeartbeatWanted())
             return
         heartbeat = context.table.find(sender)
         if heartbeat is not None:
-            self._on_heard(heartbeat, False)
+            self._on_heartbeat(heartbeat, False)
 
-    def _take_wanted(self, sender: str, message: HeartbeatWanted) -> None:
+    def _handle_wanted(self, sender: str, message: HeartbeatWanted) -> None:
         del message
-        self.introduce(sender)
+        self.send_full(sender)
--- a/src/pomelolane/membership/member.py
+++ b/src/pomelolane/membership/member.py
@@ -14,15 +14,15 @@
 from pomelolane.membership.contacts import Contacts
 from pomelolane.membership.context import MemberContext, OwnState
 from pomelolane.membership.delegate import DigestExchange, choose_delegates
-from pomelolane.membership.departures import Departures
-from pomelolane.membership.digests import TIMEOUT_MS
+from pomelolane.membership.digests import DIGEST_TIMEOUT_MS
 from pomelolane.membership.heartbeat import INTERVAL_MS, HeartbeatTable
 from pomelolane.membership.leaving import LeavingMarks
+from pomelolane.membership.leaving_broadcast import LeavingBroadcast
 from pomelolane.membership.listing import ListReader
 from pomelolane.membership.local import LocalHeartbeats
 from pomelolane.membership.pause import BACKLOG_MS, PauseDetector
 from pomelolane.membership.transport import make_transport
-from pomelolane.membership.view import ViewKeeper, peer_from_heartbeat
+from pomelolane.membership.view import ViewPublisher, peer_from_heartbeat
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
@@ -34,15 +34,15 @@
     from pomelolane.ports import Clock, View, VmList
 
 TICK_S = 0.1
-ALIGN_MS = 100.0
+HEARTBEAT_ALIGN_MS = 100.0
 """How much earlier than due a beat joins those of the neighbours.
 
 VMs that beat together wake each other up twice a second instead of at every
 single heartbeat.
 """
 
-CLEAN_UP_MS = 10_000.0
-LAST_WORDS_S = 0.05
+CLEAN_UP_INTERVAL_MS = 10_000.0
+STOP_FLUSH_S = 0.05
 
 
 class Member:
@@ -64,25 +64,30 @@
     ) -> None:
         self._context = context
         self._advertise = advertise
-        self._exchange = DigestExchange(context, self._touch, self._take_digest)
+        self._exchange = DigestExchange(
+            context, self._schedule_refresh, self._handle_digest
+        )
         self._local = LocalHeartbeats(
-            context, self._exchange.listing, self._greet, self._take_heartbeat
+            context,
+            self._exchange.remote_hashes,
+            self._handle_new_vm,
+            self._handle_heartbeat,
         )
-        self._departures = Departures(context, self._exchange)
-        self._keeper = ViewKeeper(peer_from_heartbeat(self._local.own()))
+        self._leaving_broadcast = LeavingBroadcast(context, self._exchange)
+        self._view_publisher = ViewPublisher(peer_from_heartbeat(self._local.own()))
         self._reader = vm_list and ListReader(
             vm_list,
             context,
             self._exchange,
-            self._departures,
+            self._leaving_broadcast,
             is_endpoint,
-            self._greet_listed,
+            self._contact_listed,
         )
         self._on_versions: list[Callable[[str, Mapping[str, int]], None]] = []
         self._on_pause: list[Callable[[float], None]] = []
         self._on_tick: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task] = []
-        self._touched = False
+        self._refresh_scheduled = False
         self._next_beat_ms = 0.0
         self._next_clean_up_ms = 0.0
 
@@ -116,15 +121,15 @@
     @property
     def is_stale(self) -> bool:
         """Whether the view is from before a pause of this process."""
-        return self._context.pause.woke_ms is not None
+        return self._context.pause.resumed_ms is not None
 
     def view(self) -> View:
         """Return the current view."""
-        return self._keeper.view
+        return self._view_publisher.view
 
     def on_change(self, callback: Callable[[View], None]) -> None:
         """Call back after each change of the view."""
-        self._keeper.on_change(callback)
+        self._view_publisher.on_change(callback)
 
     def on_pause(self, callback: Callable[[float], None]) -> None:
         """Call ``callback(paused_ms)`` when this process has not run for long."""
@@ -138,13 +143,13 @@
         """Return how many VMs there may be, this one and silent ones included."""
         return len(self._context.contacts) + 1
 
-    def neighbours(self) -> tuple[str, ...]:
+    def local_peers(self) -> tuple[str, ...]:
         """Return the other live VMs of the own data centre."""
         return tuple(each.vm_id for each in self._context.table.heartbeats())
 
-    def delegates_elsewhere(self) -> tuple[str, ...]:
+    def remote_delegates(self) -> tuple[str, ...]:
         """Return the known delegates of the other data centres."""
-        return tuple(self._exchange.delegates_elsewhere())
+        return tuple(self._exchange.remote_delegates())
 
     # --- messages -----------------------------------------------------------
 
@@ -163,17 +168,17 @@
     def set_ready(self, ready: bool = True) -> None:
         """Tell the others whether this VM takes callers."""
         self._context.state.ready = ready
-        self._touch()
+        self._schedule_refresh()
 
     def set_draining(self) -> None:
         """Tell the others that this VM is stopping."""
         self._context.state.draining = True
-        self._touch()
+        self._schedule_refresh()
 
     def set_versions(self, versions: Mapping[str, int]) -> None:
         """Tell the others the settings versions in force here."""
         self._context.state.versions = dict(sorted(versions.items()))
-        self._touch()
+        self._schedule_refresh()
 
     def on_versions(self, callback: Callable[[str, Mapping[str, int]], None]) -> None:
         """Call ``callback(vm_id, versions)`` with what others have in force."""
@@ -183,13 +188,13 @@
 
     def mark_leaving(self, endpoint_id: str, source: str) -> None:
         """Mark an endpoint as leaving and tell everybody at once."""
-        self._departures.mark(endpoint_id, source)
-        self._touch()
+        self._leaving_broadcast.mark(endpoint_id, source)
+        self._schedule_refresh()
 
     def clear_leaving(self, endpoint_id: str) -> None:
         """Take back a mark made here."""
         self._context.marks.clear_own(endpoint_id)
-        self._touch()
+        self._schedule_refresh()
 
     def leaving_endpoints(self) -> frozenset[str]:
         """Return the endpoints that anybody marks as leaving."""
@@ -197,11 +202,11 @@
 
     def on_leaving(self, callback: Callable[[str, str], None]) -> None:
         """Call ``callback(endpoint_id, source)`` once for each mark."""
-        self._departures.on_leaving(callback)
+        self._leaving_broadcast.on_leaving(callback)
 
     def on_returned(self, callback: Callable[[str], None]) -> None:
         """Call back when nobody marks an endpoint any more."""
-        self._departures.on_returned(callback)
+        self._leaving_broadcast.on_returned(callback)
 
     # --- life ---------------------------------------------------------------
 
@@ -210,7 +215,7 @@
         context = self._context
         await context.transport.start()
         context.state.address = self._advertise or context.transport.address
-        context.pause.ran(context.clock.now_ms())
+        context.pause.record_tick(context.clock.now_ms())
         self._refresh({})
         self._start_task(self._run())
         if self._reader is not None:
@@ -226,7 +231,7 @@
         context.state.stopped = True
         self._local.announce()
         self._exchange.publish()
-        await asyncio.sleep(LAST_WORDS_S)
+        await asyncio.sleep(STOP_FLUSH_S)
         await context.transport.stop()
 
     def tick(self) -> None:
@@ -235,9 +240,9 @@
         now_ms = context.clock.now_ms()
         for callback in self._on_tick:
             callback()
-        self._notice_pause(now_ms)
-        context.pause.ran(now_ms)
-        self._keeper.tick(now_ms)
+        self._check_pause(now_ms)
+        context.pause.record_tick(now_ms)
+        self._view_publisher.flush_log(now_ms)
         silent_ms = context.table.expire(now_ms)
         changed = self._exchange.expire(now_ms) or self._recover(now_ms)
         changed = changed or context.marks.has_overdue(now_ms)
@@ -266,26 +271,26 @@
         if not self.is_stale:
             self._exchange.beat(now_ms)
 
-    def _greet_listed(self) -> None:
+    def _contact_listed(self) -> None:
         """Try the VMs that the list names now, not at the next beat."""
         self._beat(self._context.clock.now_ms())
 
     def _clean_up(self, now_ms: float) -> None:
-        self._next_clean_up_ms = now_ms + CLEAN_UP_MS
+        self._next_clean_up_ms = now_ms + CLEAN_UP_INTERVAL_MS
         for vm_id in self._context.contacts.expire(now_ms):
             self.transport.disconnect(vm_id)
         self.transport.forget_silent()
 
     # --- changes ------------------------------------------------------------
 
-    def _touch(self) -> None:
-        if self._touched or not self._tasks:
+    def _schedule_refresh(self) -> None:
+        if self._refresh_scheduled or not self._tasks:
             return
-        self._touched = True
-        asyncio.get_running_loop().call_soon(self._settle)
+        self._refresh_scheduled = True
+        asyncio.get_running_loop().call_soon(self._run_scheduled_refresh)
 
-    def _settle(self) -> None:
-        self._touched = False
+    def _run_scheduled_refresh(self) -> None:
+        self._refresh_scheduled = False
         self._refresh({})
 
     def _refresh(self, silent_ms: Mapping[str, float]) -> None:
@@ -296,25 +301,25 @@
         draining[context.vm_id] = own.draining
         delegates = choose_delegates(context.data_centre, draining)
         self._exchange.set_role(context.vm_id in delegates, now_ms)
-        self._departures.follow()
+        self._leaving_broadcast.follow()
         if self.is_stale:
             return
         peers = self._exchange.remote_peers()
         for heartbeat in context.table.heartbeats():
             peers[heartbeat.vm_id] = peer_from_heartbeat(heartbeat)
         peers[context.vm_id] = peer_from_heartbeat(own)
-        self._keeper.replace(peers, silent_ms, now_ms)
+        self._view_publisher.replace(peers, silent_ms, now_ms)
         self._local.announce()
         self._exchange.publish()
 
-    def _notice_pause(self, now_ms: float) -> None:
+    def _check_pause(self, now_ms: float) -> None:
         context = self._context
         gap_ms = context.pause.gap_ms(now_ms)
         if not gap_ms:
             return
-        context.pause.wake(now_ms)
-        context.table.excuse(now_ms)
-        self._exchange.excuse(now_ms)
+        context.pause.begin_recovery(now_ms)
+        context.table.restart_timeouts(now_ms)
+        self._exchange.restart_timeouts(now_ms)
         log_event(VM_WOKE, paused_ms=gap_ms)
         self._local.announce(always=True)
         for callback in self._on_pause:
@@ -322,39 +327,39 @@
 
     def _recover(self, now_ms: float) -> bool:
         """End the stale spell after a pause; True where it ends now."""
-        woke_ms = self._context.pause.woke_ms
-        if woke_ms is None:
+        resumed_ms = self._context.pause.resumed_ms
+        if resumed_ms is None:
             return False
-        backlog_ms = woke_ms + BACKLOG_MS
+        backlog_ms = resumed_ms + BACKLOG_MS
         heard_all = self._context.table.all_heard_after(
             backlog_ms
         ) and self._exchange.all_heard_after(backlog_ms)
-        if not heard_all and now_ms - woke_ms <= TIMEOUT_MS:
+        if not heard_all and now_ms - resumed_ms <= DIGEST_TIMEOUT_MS:
             return False
-        self._context.pause.recover()
+        self._context.pause.end_recovery()
         return True
 
     # --- what others say ----------------------------------------------------
 
-    def _greet(self, vm_id: str) -> None:
+    def _handle_new_vm(self, vm_id: str) -> None:
         # The digest tells a newcomer the addresses of the others around it.
-        self._local.introduce(vm_id)
+        self._local.send_full(vm_id)
         self.transport.send(vm_id, self._exchange.own(reply=True))
 
-    def _take_heartbeat(self, heartbeat: Heartbeat, in_full: bool) -> None:
-        self._notice_pause(self._context.clock.now_ms())
-        self._exchange.take_listing(heartbeat)
+    def _handle_heartbeat(self, heartbeat: Heartbeat, in_full: bool) -> None:
+        self._check_pause(self._context.clock.now_ms())
+        self._exchange.record_remote_hashes(heartbeat)
         if in_full:
-            self._tell_versions(heartbeat.vm_id, heartbeat.versions)
-            self._touch()
-        elif self._context.clock.now_ms() >= self._next_beat_ms - ALIGN_MS:
+            self._notify_versions(heartbeat.vm_id, heartbeat.versions)
+            self._schedule_refresh()
+        elif self._context.clock.now_ms() >= self._next_beat_ms - HEARTBEAT_ALIGN_MS:
             self._beat(self._context.clock.now_ms())
 
-    def _take_digest(self, sender: str, digest: Digest) -> None:
-        self._notice_pause(self._context.clock.now_ms())
-        self._tell_versions(sender, digest.versions)
+    def _handle_digest(self, sender: str, digest: Digest) -> None:
+        self._check_pause(self._context.clock.now_ms())
+        self._notify_versions(sender, digest.versions)
 
-    def _tell_versions(self, vm_id: str, versions: Mapping[str, int]) -> None:
+    def _notify_versions(self, vm_id: str, versions: Mapping[str, int]) -> None:
         for callback in self._on_versions:
             callback(vm_id, versions)
 
--- a/src/pomelolane/membership/recorded.py
+++ b/src/pomelolane/membership/recorded.py
@@ -22,7 +22,7 @@
 MARK_PREFIX = "leaving/"
 RECORD_SOURCE = "record"
 POLL_S = 1.0
-KEPT_UNDECLARED_MS = 60_000.0
+UNDECLARED_RETENTION_MS = 60_000.0
 """How long a mark of an endpoint that no VM knows any more is kept; longer
 than any VM can be behind in its settings."""
 
@@ -71,12 +71,12 @@
         self._member = member
         self._may_exist = may_exist
         self._wall = wall
-        self._taken: set[str] = set()
+        self._recorded_here: set[str] = set()
         self._read: set[str] = set()
 
     async def record(self, endpoint_id: str) -> None:
         """Write an operator's mark, for as long as the platform does not take it."""
-        self._taken.add(endpoint_id)
+        self._recorded_here.add(endpoint_id)
         mark = _Mark(self._member.vm_id, self._wall.now_ms())
         write = Write(MARK_PREFIX + endpoint_id, msgspec.json.encode(mark), None)
         while True:
@@ -95,7 +95,7 @@
 
     async def read(self) -> None:
         """Read once, as a delegate; other VMs only hold the words taken here."""
-        self._drop_taken()
+        self._clear_undeclared_here()
         if not self._member.is_delegate:
             self._follow(set())
             return
@@ -113,15 +113,15 @@
             self._member.clear_leaving(endpoint_id)
         self._read = recorded
 
-    def _drop_taken(self) -> None:
+    def _clear_undeclared_here(self) -> None:
         """Take back the words taken here whose endpoints are gone."""
-        for endpoint_id in sorted(self._taken):
+        for endpoint_id in sorted(self._recorded_here):
             if not self._may_exist(endpoint_id):
-                self._taken.remove(endpoint_id)
+                self._recorded_here.remove(endpoint_id)
                 self._member.clear_leaving(endpoint_id)
 
     async def _drop_undeclared(self, rows: Sequence[Row]) -> None:
-        before_ms = self._wall.now_ms() - KEPT_UNDECLARED_MS
+        before_ms = self._wall.now_ms() - UNDECLARED_RETENTION_MS
         writes = [
             Write(row.key, None, row.version)
             for row in rows
--- a/src/pomelolane/membership/remotes.py
+++ b/src/pomelolane/membership/remotes.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pomelolane.membership.digests import TIMEOUT_MS
+from pomelolane.membership.digests import DIGEST_TIMEOUT_MS
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping
@@ -63,7 +63,7 @@
         self._overdue_after_ms = math.inf
         for vm_id in self._known.keys() - listed.keys():
             known = self._known[vm_id]
-            until_ms = listed_ms.get(vm_id, known.listed_ms) + TIMEOUT_MS
+            until_ms = listed_ms.get(vm_id, known.listed_ms) + DIGEST_TIMEOUT_MS
             if now_ms > until_ms or known.peer.data_centre not in data_centres:
                 del self._known[vm_id]
             else:
--- a/src/pomelolane/membership/transport.py
+++ b/src/pomelolane/membership/transport.py
@@ -39,7 +39,7 @@
 MAX_READ_BATCH = 256
 RECEIVE_QUEUE = 10_000
 NOT_LOOPBACK = "no keys, and the address is none of this machine's"
-PLAIN_ALLOWED = "a loopback address unless keys are given"
+UNENCRYPTED_ALLOWED = "a loopback address unless keys are given"
 
 
 class ZmqTransport:
@@ -70,7 +70,7 @@
         self.addresses = addresses
         self.port = port
         self.rejected = 0
-        self.faults = 0
+        self.handler_errors = 0
         self.last_rejection = ""
         self.bytes_received = 0
         self.frames_received = 0
@@ -78,7 +78,7 @@
         self._host = host
         self._keys = keys
         self._clock = clock
-        self._guard = ReplayGuard(clock)
+        self._replay_guard = ReplayGuard(clock)
         self._handlers: dict[type[Message], list[Callable]] = defaultdict(list)
         self._links: dict[str, Link] = {}
         self._closed_bytes = 0
@@ -104,7 +104,7 @@
         return self._closed_frames + sum(x.frames_sent for x in self._links.values())
 
     @property
-    def strangers_refused(self) -> int:
+    def unlisted_keys_refused(self) -> int:
         """Connections refused because their key is not listed."""
         return self._authenticator.refused if self._authenticator else 0
 
@@ -121,7 +121,7 @@
             SettingError: The address is not allowed or in use.
         """
         if self._keys is None and not is_loopback(self._host):
-            raise SettingError("--host", self._host, PLAIN_ALLOWED)
+            raise SettingError("--host", self._host, UNENCRYPTED_ALLOWED)
         self._context = zmq.Context()
         if self._keys is not None:
             self._authenticator = KeyAuthenticator(self._context, self._keys)
@@ -179,7 +179,7 @@
 
     def forget_silent(self) -> None:
         """Free what is remembered of senders that have long been silent."""
-        self._guard.forget_silent()
+        self._replay_guard.forget_silent()
 
     def _bind(self) -> zmq.Socket:
         router = self._context.socket(zmq.ROUTER)
@@ -247,7 +247,7 @@
         try:
             self._check_sender(sender, frame)
             envelope = decode_envelope(frame.buffer)
-            self._guard.admit(sender, envelope)
+            self._replay_guard.admit(sender, envelope)
             messages = [decode_message(raw) for raw in envelope.messages]
         except TransportError as error:
             self._reject(sender, str(error))
@@ -270,7 +270,7 @@
                 handler(sender, message)
             except Exception as error:
                 # A fault in one part must not stop the others' messages.
-                self.faults += 1
+                self.handler_errors += 1
                 name = getattr(handler, "__qualname__", repr(handler))
                 log_event(TASK_FAILED, task=name, error=repr(error))
 
--- a/src/pomelolane/membership/view.py
+++ b/src/pomelolane/membership/view.py
@@ -18,7 +18,7 @@
     from pomelolane.messages import Heartbeat, MemberState
 
 
-class ViewKeeper:
+class ViewPublisher:
     """Holds the view and calls back after each change of it.
 
     Args:
@@ -39,9 +39,9 @@
         """Call back after each change."""
         self._callbacks.append(callback)
 
-    def tick(self, now_ms: float) -> None:
+    def flush_log(self, now_ms: float) -> None:
         """Tell operators of changes that have gathered."""
-        self._log.tell(now_ms)
+        self._log.flush(now_ms)
 
     def replace(
         self, peers: Mapping[str, Peer], silent_ms: Mapping[str, float], now_ms: float
@@ -57,7 +57,7 @@
         if peers == before.peers:
             return False
         self._view = View(before.number + 1, dict(peers))
-        self._log.note(before, self._view, silent_ms, now_ms)
+        self._log.record(before, self._view, silent_ms, now_ms)
         for callback in self._callbacks:
             try:
                 callback(self._view)
--- a/src/pomelolane/membership/viewlog.py
+++ b/src/pomelolane/membership/viewlog.py
@@ -16,7 +16,7 @@
 
     from pomelolane.ports import Peer, View
 
-GATHER_MS = 500.0
+LOG_DELAY_MS = 500.0
 """How long changes are gathered: as long as from one heartbeat to the next, in which a
 VM that starts meets most of the others."""
 
@@ -29,7 +29,7 @@
         self._down: dict[str, tuple[str, float]] = {}
         self._since_ms: float | None = None
 
-    def note(
+    def record(
         self, before: View, after: View, silent_ms: Mapping[str, float], now_ms: float
     ) -> None:
         """Take note of a change; one that is taken back is not told."""
@@ -49,15 +49,15 @@
         if self._since_ms is None and (self._up or self._down):
             self._since_ms = now_ms
 
-    def tell(self, now_ms: float) -> None:
+    def flush(self, now_ms: float) -> None:
         """Write what has gathered for long enough."""
-        if self._since_ms is None or now_ms - self._since_ms < GATHER_MS:
+        if self._since_ms is None or now_ms - self._since_ms < LOG_DELAY_MS:
             return
-        self._tell_up()
-        self._tell_down()
+        self._log_up()
+        self._log_down()
         self._since_ms = None
 
-    def _tell_up(self) -> None:
+    def _log_up(self) -> None:
         for data_centre in sorted({peer.data_centre for peer in self._up.values()}):
             names = sorted(
                 vm_id
@@ -68,7 +68,7 @@
             log_event(PEERS_UP, data_centre=data_centre, count=len(names), peers=peers)
         self._up.clear()
 
-    def _tell_down(self) -> None:
+    def _log_down(self) -> None:
         for data_centre in sorted({one for one, _ in self._down.values()}):
             silences_ms = {
                 vm_id: silent_ms
--- a/src/pomelolane/platform/roster.py
+++ b/src/pomelolane/platform/roster.py
@@ -16,7 +16,7 @@
 from pomelolane import events
 from pomelolane.logs import log_event
 from pomelolane.membership import ClusterKeys
-from pomelolane.membership.keys import SHARED_NAME
+from pomelolane.membership.keys import SHARED_KEY_NAME
 from pomelolane.platform.errors import StoreUnavailableError
 from pomelolane.ports import ListedVm
 
@@ -125,7 +125,7 @@
             raise StoreUnavailableError("the common keys were written and not found")
         public_key = self._keys.public.encode()
         private_key = self._keys.private.encode()
-        keys = ClusterKeys(public_key, private_key, {SHARED_NAME: public_key})
+        keys = ClusterKeys(public_key, private_key, {SHARED_KEY_NAME: public_key})
         return FirstContact(int(now_ms), keys)
 
     def vm_ids(self) -> list[str]:
--- a/src/pomelolane/settings/distribution.py
+++ b/src/pomelolane/settings/distribution.py
@@ -48,10 +48,10 @@
     def view(self) -> View:
         """Return the current view."""
 
-    def neighbours(self) -> tuple[str, ...]:
+    def local_peers(self) -> tuple[str, ...]:
         """Return the other live VMs of the own data centre."""
 
-    def delegates_elsewhere(self) -> tuple[str, ...]:
+    def remote_delegates(self) -> tuple[str, ...]:
         """Return the known delegates of the other data centres."""
 
     def send(self, vm_id: str, message: Message) -> bool:
@@ -147,7 +147,7 @@
         if not self._adopt(offered):
             return False
         self._send_all(
-            offered, (*self._peers.neighbours(), *self._peers.delegates_elsewhere())
+            offered, (*self._peers.local_peers(), *self._peers.remote_delegates())
         )
         return True
 
@@ -201,7 +201,7 @@
         for each in snapshot.branches.values():
             found = BranchContent(each.branch, each.version, each.content)
             if self._adopt(found):
-                self._send_all(found, self._peers.neighbours())
+                self._send_all(found, self._peers.local_peers())
         self._counter = snapshot.counter
 
     # --- the peers ----------------------------------------------------------
@@ -238,7 +238,7 @@
         peer = self._peers.view().peers.get(sender)
         foreign = peer is None or peer.data_centre != self._peers.data_centre
         if foreign and self._peers.is_delegate:
-            self._send_all(content, self._peers.neighbours())
+            self._send_all(content, self._peers.local_peers())
 
     def _take_versions(self, vm_id: str, versions: Mapping[str, int]) -> None:
         now_ms = self._clock.now_ms()
--- a/tests/steps/membership_beats_steps.py
+++ b/tests/steps/membership_beats_steps.py
@@ -49,7 +49,7 @@
     def _hear_neighbour(self):
         if self.clock.now_ms() % 500.0 != 400.0:
             return
-        first = "m1" not in self.member.neighbours()
+        first = "m1" not in self.member.local_peers()
         pulse = Pulse(hash_of_heartbeat(self.neighbour))
         self.member.transport._deliver("m1", self.neighbour if first else pulse)
 
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -240,7 +240,7 @@
         return
     send_raw(context, [query_frame()], keys=zmq.curve_keypair())
     transport = context.recorders["a"].transport
-    context.run(eventually(lambda: transport.strangers_refused, "the refusal"))
+    context.run(eventually(lambda: transport.unlisted_keys_refused, "the refusal"))
 
 
 @then('transport "a" takes no frame of the stranger\'s')
@@ -347,7 +347,7 @@
     all_read = lambda: transport.frames_received == count  # noqa: E731
     context.run(eventually(all_read, "all frames read"))
     assert transport.rejected == 0, transport.last_rejection
-    assert transport.faults == 0
+    assert transport.handler_errors == 0
     assert "a" in member.view().peers
 
 
--- a/tests/steps/membership_tables_steps.py
+++ b/tests/steps/membership_tables_steps.py
@@ -21,8 +21,8 @@
 @given('a table with heartbeats of "x" at 0 ms and of "y" at 500 ms')
 def step_table(context):
     context.heartbeats = HeartbeatTable()
-    assert context.heartbeats.take(heartbeat_of("x"), 0.0)
-    assert context.heartbeats.take(heartbeat_of("y"), 500.0)
+    assert context.heartbeats.put(heartbeat_of("x"), 0.0)
+    assert context.heartbeats.put(heartbeat_of("y"), 500.0)
 
 
 @when("the table expires at {now:d} ms")
@@ -39,7 +39,7 @@
 
 @when('a heartbeat of an earlier start of "x" comes')
 def step_earlier(context):
-    assert not context.heartbeats.take(heartbeat_of("x", 1), 600.0)
+    assert not context.heartbeats.put(heartbeat_of("x", 1), 600.0)
 
 
 @then('the table still holds the later start of "x"')
@@ -49,12 +49,12 @@
 
 @then('a pulse of "x" with another hash is not known')
 def step_other_hash(context):
-    assert not context.heartbeats.pulse("x", -1, 600.0)
+    assert not context.heartbeats.confirm("x", -1, 600.0)
 
 
 @then('a pulse of "z" is not known')
 def step_unknown(context):
-    assert not context.heartbeats.pulse("z", 1, 600.0)
+    assert not context.heartbeats.confirm("z", 1, 600.0)
     assert context.heartbeats.find("z") is None
 
 
@@ -241,7 +241,7 @@
 
 
 def known_at(context, ms, gone=()):
-    listed_ms = context.digests.listed_ms()
+    listed_ms = context.digests.last_listed_ms()
     return context.remote.update(
         context.listed, listed_ms, context.spoken_of, gone, float(ms)
     )
@@ -268,7 +268,7 @@
 def step_unlisted(context, before, names, ms):
     context.digests.put("b1", digest_of("dcb", names), float(ms))
     context.listed = peers_of(names.split())
-    gone = context.digests.take_gone()
+    gone = context.digests.pop_unlisted()
     assert gone == set(before.split()) - set(names.split())
     known_at(context, ms, gone)
 
@@ -280,7 +280,7 @@
         context.digests.expire(float(now_ms))
         merged = context.digests.merged("dcb").digest
         context.listed = peers_of([state.vm_id for state in merged.members])
-        known_at(context, now_ms, context.digests.take_gone())
+        known_at(context, now_ms, context.digests.pop_unlisted())
 
 
 @then('the VMs known at {ms:d} ms are "{names}"')
@@ -306,8 +306,8 @@
 
     def change(self, peers, now_ms):
         after = View(self.view.number + 1, peers)
-        self.log.note(self.view, after, {}, now_ms)
-        self.log.tell(now_ms)
+        self.log.record(self.view, after, {}, now_ms)
+        self.log.flush(now_ms)
         self.view = after
 
 
@@ -342,18 +342,18 @@
     "VMs"
 )
 def step_lines(context, count, ms, one, two):
-    context.written.log.tell(float(ms))
+    context.written.log.flush(float(ms))
     assert [line["count"] for line in context.written.lines] == [one, two]
     assert len(context.written.lines) == count
 
 
 @then("1 line is written within {ms:d} ms, of 1 VM")
 def step_line(context, ms):
-    context.written.log.tell(float(ms))
+    context.written.log.flush(float(ms))
     assert [line["count"] for line in context.written.lines] == [1]
 
 
 @then("no line is written within {ms:d} ms")
 def step_no_line(context, ms):
-    context.written.log.tell(float(ms))
+    context.written.log.flush(float(ms))
     assert context.written.lines == []
--- a/tests/steps/settings_distribution_steps.py
+++ b/tests/steps/settings_distribution_steps.py
@@ -254,11 +254,11 @@
         """Return a view with two others."""
         return self._view
 
-    def neighbours(self):
+    def local_peers(self):
         """Return nobody to pass anything on to."""
         return ()
 
-    def delegates_elsewhere(self):
+    def remote_delegates(self):
         """Return nobody to pass anything on to."""
         return ()
 
