--- a/src/pomelolane/membership/__init__.py
+++ b/src/pomelolane/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Who is alive and how VMs talk: transport, heartbeats, digests, the view.
+"""Group membership and messaging between VMs.
 
-Everything here is soft state; nothing is voted on, logged or kept.
+Covers the transport, heartbeats, digests and the view. All of it is soft state:
+there is no consensus, no replicated log and no persistence.
 """
 
 from __future__ import annotations
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -1,8 +1,8 @@
-"""What data centres tell each other, through two delegates each.
+"""Exchange of membership between data centres, through two delegates each.
 
-A delegate sends a digest of its data centre to the delegates of the others;
-its own heartbeat then names the digests that it has, and the VMs around it ask
-for those that they lack.
+A delegate sends a digest of its data centre to the delegates of the others. Its
+heartbeat carries the hashes of the digests that it received, and the other VMs of its
+data centre request those that they lack.
 """
 
 from __future__ import annotations
@@ -31,27 +31,27 @@
 
 DELEGATES = 2
 PROBES = 3
-"""VMs of a silent data centre that are tried at one beat."""
+"""VMs of a silent data centre that are contacted at one heartbeat."""
 
 INHERITED_SOURCE = ""
-"""Source of what a new delegate knew before it heard anything directly."""
+"""Source of the digests that a new delegate had before any arrived directly."""
 
 
 def choose_delegates(
     data_centre: str, draining_by_vm: Mapping[str, bool]
 ) -> tuple[str, ...]:
-    """Return the VMs that speak for a data centre, stopping ones last."""
+    """Choose a data centre's delegates, draining VMs only if all are draining."""
     staying = [vm_id for vm_id, draining in draining_by_vm.items() if not draining]
     return choose_several(data_centre, staying or draining_by_vm, DELEGATES)
 
 
 class DigestExchange:
-    """Sends and takes in digests.
+    """Sends digests of this data centre and stores those of the others.
 
     Args:
-        context: The member's parts.
-        on_change: Called when something became known of a data centre.
-        on_digest: Called with each digest and the VM that it came from.
+        context: State and components shared within the package.
+        on_change: Called after a digest was stored.
+        on_digest: Called with the sender and each digest of another data centre.
     """
 
     def __init__(
@@ -76,10 +76,10 @@
         context.transport.subscribe(DigestPulse, self._handle_pulse)
         context.transport.subscribe(DigestWanted, self._handle_wanted)
 
-    # --- what is known ------------------------------------------------------
+    # --- known state --------------------------------------------------------
 
     def data_centres(self) -> set[str]:
-        """Return the other data centres that are heard of."""
+        """Return the other data centres of which there is a digest."""
         return {*self._direct.data_centres(), *self._relayed.data_centres()}
 
     def remote_peers(self) -> dict[str, Peer]:
@@ -97,10 +97,10 @@
         return self._members.update(peers, listed_ms, data_centres, gone, now_ms)
 
     def remote_hashes(self) -> dict[str, int]:
-        """Return the hashes of the digests heard directly, as a delegate.
+        """Return the hashes of directly received digests, empty if no delegate.
 
-        One that gave up the role goes on for a while, until its successors
-        have heard the other data centres themselves.
+        A former delegate keeps returning them for :data:`DIGEST_TIMEOUT_MS`, until its
+        successors have received digests of their own.
         """
         now_ms = self._context.clock.now_ms()
         if not self.is_delegate and now_ms >= self._advertise_until_ms:
@@ -109,7 +109,7 @@
         return {each: tables.merged(each).digest_hash for each in tables.data_centres()}
 
     def leaving(self) -> set[str]:
-        """Return the endpoints that other data centres say are leaving."""
+        """Return the endpoints that other data centres mark as leaving."""
         return {
             endpoint_id
             for data_centre in self.data_centres()
@@ -118,7 +118,7 @@
         }
 
     def remote_delegates(self) -> list[str]:
-        """Return the delegates of the other data centres that are known."""
+        """Return the known delegates of the other data centres."""
         return [
             vm_id
             for data_centre in sorted(self.data_centres())
@@ -126,14 +126,14 @@
         ]
 
     def all_heard_after(self, moment_ms: float) -> bool:
-        """Tell whether every known data centre was heard of after a moment."""
+        """Return whether every data centre's digest was refreshed after a time."""
         tables = (self._direct, self._relayed)
         return all(table.all_heard_after(moment_ms) for table in tables)
 
-    # --- time and role ------------------------------------------------------
+    # --- timers and role ----------------------------------------------------
 
     def set_role(self, is_delegate: bool, now_ms: float) -> bool:
-        """Take or leave the delegate's role; True on a change."""
+        """Set whether this VM is a delegate; return whether that changed."""
         if is_delegate == self.is_delegate:
             return False
         self.is_delegate = is_delegate
@@ -149,18 +149,18 @@
         return True
 
     def expire(self, now_ms: float) -> bool:
-        """Drop what nobody speaks of any more; True where there was any."""
+        """Drop expired digests; return whether the remote VMs may have changed."""
         direct = self._direct.expire(now_ms)
         relayed = self._relayed.expire(now_ms)
         return direct or relayed or self._members.has_overdue(now_ms)
 
     def restart_timeouts(self, now_ms: float) -> None:
-        """Count everything as heard now, after this VM itself has paused."""
+        """Restart all silence timeouts, after a pause of this process."""
         self._direct.restart_timeouts(now_ms)
         self._relayed.restart_timeouts(now_ms)
 
     def beat(self, now_ms: float) -> None:
-        """As a delegate, send a sign of life to the other data centres."""
+        """As a delegate, send the periodic digest or pulse."""
         if not self.is_delegate:
             return
         self._beats += 1
@@ -171,7 +171,7 @@
             self._send_digest(vm_id, digest, digest_hash)
 
     def publish(self) -> None:
-        """As a delegate, send the own digest at once if it has changed."""
+        """As a delegate, send this data centre's digest at once if it changed."""
         if not self.is_delegate:
             return
         digest = self.own()
@@ -183,7 +183,7 @@
             self._send_digest(vm_id, digest, digest_hash)
 
     def own(self, *, reply: bool = False) -> Digest:
-        """Return the digest of this VM's data centre as it stands."""
+        """Return the current digest of this data centre."""
         context = self._context
         heartbeats = list(context.table.heartbeats())
         members = [_state_of(heartbeat) for heartbeat in heartbeats]
@@ -201,7 +201,7 @@
         )
 
     def record_remote_hashes(self, heartbeat: Heartbeat) -> None:
-        """Take note of the digests that a VM of the own data centre has."""
+        """Update the relayed digests from the hashes in a heartbeat."""
         vm_id = heartbeat.vm_id
         heard_ms = self._context.heard_ms()
         for data_centre in self._relayed.data_centres():
@@ -254,8 +254,8 @@
             context.transport.send(sender, merged.digest)
 
     def _send_correction(self, sender: str, now_ms: float) -> None:
-        # Whoever takes this VM for a delegate learns who is one, but not at
-        # every message, and an answer is never answered.
+        # The sender wrongly takes this VM for a delegate, so it gets the current
+        # members. Corrections are rate-limited, and a reply is never replied to.
         if self.is_delegate:
             return
         if now_ms - self._replied_ms.get(sender, -INTERVAL_MS) < INTERVAL_MS:
@@ -273,8 +273,8 @@
             self._sent[vm_id] = digest_hash
 
     def _recipients(self, now_ms: float) -> list[str]:
-        # The delegates of a data centre take turns: each hears two others of
-        # every data centre once a second, which halves what a delegate sends.
+        # Sends to the delegates of a data centre in turn: each hears from two
+        # delegates of every data centre once a second, at half the traffic.
         targets = []
         for data_centre in sorted(self.data_centres()):
             delegates = self._delegates_of(data_centre)
@@ -302,7 +302,8 @@
     def _merged_digests(self, data_centre: str) -> list[MergedDigest]:
         relayed = self._relayed.merged(data_centre)
         direct = self._direct.merged(data_centre)
-        # Others write to a plain member by mistake only, and not regularly.
+        # Digests reach a VM that is no delegate directly only by mistake, and at no
+        # regular interval, so relayed ones take precedence.
         if relayed is not None and not self.is_delegate:
             direct = None
         return [each for each in (relayed, direct) if each is not None]
--- a/src/pomelolane/membership/digests.py
+++ b/src/pomelolane/membership/digests.py
@@ -1,7 +1,8 @@
-"""Digests of other data centres, each kept by the VM that it came from.
+"""Digests of other data centres, stored by data centre and source VM.
 
-A data centre is known while some source is heard; what several sources say of
-it is merged, so that two delegates with unequal views do not take turns.
+A data centre is known while at least one source is heard. The digests of several
+sources are merged, so that the result does not alternate between two delegates with
+different views.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 DIGEST_TIMEOUT_MS = 2000.0
 MISSED_DIGEST_MS = 1250.0
-"""A source that takes its turn once a second has missed it by then."""
+"""Silence after which a source has missed its digest of once a second."""
 
 
 @dataclass(slots=True)
@@ -29,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedDigest:
-    """What is known of one data centre.
+    """The merged digest of one data centre.
 
     Attributes:
-        digest: The sources' digests made one.
-        digest_hash: Its hash.
+        digest: Digests of all sources, merged into one.
+        digest_hash: Hash of its content.
     """
 
     digest: Digest
@@ -41,11 +42,11 @@
 
 
 class DigestTable:
-    """Digests by data centre and source; pure, time is passed in.
+    """Digests by data centre and source; the caller passes in the time.
 
     Args:
-        from_members: Whether the sources are VMs of the digested data centres
-            themselves, so that one may say that another one is gone.
+        from_members: Whether the sources are members of the data centres that they
+            describe, so that one source's digest can show that another is gone.
     """
 
     def __init__(self, *, from_members: bool) -> None:
@@ -56,15 +57,15 @@
         self._merged: dict[str, MergedDigest] = {}
 
     def data_centres(self) -> tuple[str, ...]:
-        """Return the data centres that are known."""
+        """Return the data centres with at least one digest."""
         return tuple(self._entries)
 
     def sources(self, data_centre: str) -> tuple[str, ...]:
-        """Return from whom digests of a data centre came."""
+        """Return the VMs whose digests of a data centre are stored."""
         return tuple(self._entries.get(data_centre, ()))
 
     def put(self, source: str, digest: Digest, now_ms: float) -> None:
-        """Keep a digest in place of the source's earlier one."""
+        """Store a digest, replacing the source's earlier one."""
         entry = _Entry(digest, hash_of_digest(digest), now_ms)
         entries = self._entries.setdefault(digest.data_centre, {})
         if source in entries:
@@ -75,7 +76,7 @@
     def confirm(
         self, source: str, data_centre: str, digest_hash: int, now_ms: float
     ) -> bool:
-        """Take note of a pulse; False where its content is not known."""
+        """Record a pulse; return False if no digest has its hash."""
         entries = self._entries.get(data_centre, {})
         own = entries.get(source)
         if own is not None:
@@ -89,16 +90,16 @@
         return False
 
     def keep_sources(self, data_centre: str, sources: Iterable[str]) -> None:
-        """Drop a data centre's entries of all but some sources."""
+        """Drop a data centre's digests of all sources but the given ones."""
         entries = self._entries.get(data_centre, {})
         for source in entries.keys() - set(sources):
             self._drop(data_centre, source)
 
     def expire(self, now_ms: float) -> bool:
-        """Drop the entries of sources that are silent or said to be gone.
+        """Drop digests of sources that are silent or listed as gone.
 
         Returns:
-            Whether there were any.
+            Whether any were dropped.
         """
         silent = [
             (data_centre, source)
@@ -117,22 +118,22 @@
         return bool(silent)
 
     def restart_timeouts(self, now_ms: float) -> None:
-        """Count all sources as heard now, after this VM itself has paused."""
+        """Restart all silence timeouts, after a pause of this process."""
         for entries in self._entries.values():
             for entry in entries.values():
                 entry.heard_ms = now_ms
 
     def all_heard_after(self, moment_ms: float) -> bool:
-        """Tell whether every data centre was heard of after a moment."""
+        """Return whether every data centre has a source heard after a time."""
         return all(
             any(entry.heard_ms > moment_ms for entry in entries.values())
             for entries in self._entries.values()
         )
 
     def last_listed_ms(self) -> dict[str, float]:
-        """Return when a source that lists it was last heard, for each VM.
+        """Return for each VM when a source that lists it was last heard.
 
-        Sources that were dropped within :data:`DIGEST_TIMEOUT_MS` count as well.
+        Sources dropped within the last :data:`DIGEST_TIMEOUT_MS` are included.
         """
         listed_ms = dict(self._dropped_ms)
         for entries in self._entries.values():
@@ -143,12 +144,12 @@
         return listed_ms
 
     def pop_unlisted(self) -> set[str]:
-        """Return the VMs that a source has ceased to list since the last call."""
+        """Return and clear the VMs that a source has stopped listing."""
         unlisted, self._unlisted = self._unlisted, set()
         return unlisted
 
     def merged(self, data_centre: str) -> MergedDigest | None:
-        """Return what is known of a data centre."""
+        """Return the merged digest of a data centre."""
         if data_centre not in self._entries:
             return None
         if data_centre not in self._merged:
@@ -160,8 +161,8 @@
     def _is_unlisted_by_fresh_source(
         self, source: str, entries: Mapping[str, _Entry], now_ms: float
     ) -> bool:
-        # A silent source alone is not enough, nor what another one says: after
-        # a partition two delegates may each call the other gone.
+        # Requires both a silent source and a fresh one that does not list it: after a
+        # partition, two live delegates may each omit the other.
         def is_fresh(entry: _Entry) -> bool:
             return now_ms - entry.heard_ms <= MISSED_DIGEST_MS
 
@@ -208,12 +209,12 @@
 
 
 def newer_state(one: MemberState | None, other: MemberState) -> MemberState:
-    """Return the later of two states of one VM."""
+    """Return the later of two states of one VM, merged within one start."""
     if one is None or other.incarnation > one.incarnation:
         return other
     if other.incarnation < one.incarnation:
         return one
-    # Of two views of one start, the one that saw it ready or draining is later.
+    # Of two states from one start, the one that is ready or draining is the later.
     return MemberState(
         one.vm_id,
         one.incarnation,
--- a/src/pomelolane/membership/heartbeat.py
+++ b/src/pomelolane/membership/heartbeat.py
@@ -1,7 +1,7 @@
-"""The VMs of the own data centre, by their heartbeats.
+"""Failure detection by heartbeats for the VMs of this data centre.
 
-A VM is alive while it is heard at least every :data:`SILENCE_MS`; how long
-others take for it does not matter.
+A VM is alive while it is heard at least every :data:`SILENCE_MS`, whatever the
+delays of other VMs are.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class HeartbeatTable:
-    """Last heartbeat of each VM that is alive; pure, time is passed in."""
+    """Last heartbeat of each live VM; the caller passes in the time."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
@@ -40,7 +40,7 @@
         return len(self._records)
 
     def heartbeats(self) -> Iterator[Heartbeat]:
-        """Return the last heartbeat of each VM that is alive."""
+        """Return the last heartbeat of each live VM."""
         return (record.heartbeat for record in self._records.values())
 
     def find(self, vm_id: str) -> Heartbeat | None:
@@ -49,10 +49,10 @@
         return record.heartbeat if record else None
 
     def put(self, heartbeat: Heartbeat, now_ms: float) -> bool:
-        """Take note of a full heartbeat.
+        """Record a full heartbeat.
 
         Returns:
-            Whether the VM is new here or was started again.
+            Whether the VM is new or was restarted.
         """
         known = self._records.get(heartbeat.vm_id)
         if known and known.heartbeat.incarnation > heartbeat.incarnation:
@@ -65,7 +65,7 @@
         return not known or known.heartbeat.incarnation < heartbeat.incarnation
 
     def confirm(self, vm_id: str, state_hash: int, now_ms: float) -> bool:
-        """Take note of a pulse; False where its content is not known."""
+        """Record a pulse; return False if the last heartbeat has another hash."""
         record = self._records.get(vm_id)
         if record is None:
             return False
@@ -73,7 +73,7 @@
         return record.state_hash == state_hash
 
     def expire(self, now_ms: float) -> dict[str, float]:
-        """Drop the silent VMs and return how long each was not heard."""
+        """Drop the silent VMs and return each one's silence in ms."""
         silent = {
             vm_id: now_ms - record.heard_ms
             for vm_id, record in self._records.items()
@@ -84,11 +84,11 @@
         return silent
 
     def restart_timeouts(self, now_ms: float) -> None:
-        """Count all VMs as heard now, after this VM itself has paused."""
+        """Restart all silence timeouts, after a pause of this process."""
         for record in self._records.values():
             record.heard_ms = now_ms
 
     def all_heard_after(self, moment_ms: float) -> bool:
-        """Tell whether every VM was heard after a moment; False for none."""
+        """Return whether every VM was heard after a time; False for none."""
         records = self._records.values()
         return bool(records) and all(each.heard_ms > moment_ms for each in records)
--- a/src/pomelolane/membership/local.py
+++ b/src/pomelolane/membership/local.py
@@ -1,7 +1,7 @@
-"""Heartbeats to and from the VMs of the own data centre, each to each.
+"""Heartbeats between all VMs of one data centre.
 
-A full heartbeat goes out at every change and to every newcomer, a pulse that
-names its hash in between.
+A full heartbeat is sent after every change and to every new VM; otherwise a pulse
+carries only the hash of the last full one.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     from pomelolane.messages import Message
 
 PROBES = 64
-"""VMs of the own data centre that are tried at one beat."""
+"""Silent VMs of this data centre that are contacted at one heartbeat."""
 
 
 class LocalHeartbeats:
-    """Sends this VM's heartbeats and takes in the others'.
+    """Sends this VM's heartbeats and records those received.
 
     Args:
-        context: The member's parts.
+        context: State and components shared within the package.
         remote: Returns the hash of each other data centre's digest.
-        on_new: Called with each VM that is new or was started again.
-        on_heartbeat: Called with the sender's last heartbeat at each sign of life
-            and whether it has just come in full.
+        on_new: Called with each VM that is new or was restarted.
+        on_heartbeat: Called at each heartbeat or pulse with the sender's last full
+            heartbeat and whether that has just arrived.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         context.transport.subscribe(HeartbeatWanted, self._handle_wanted)
 
     def own(self) -> Heartbeat:
-        """Return this VM's heartbeat as it stands."""
+        """Return this VM's current heartbeat."""
         context = self._context
         state = context.state
         return Heartbeat(
@@ -69,7 +69,7 @@
         )
 
     def beat(self, now_ms: float) -> None:
-        """Send a sign of life to all, and try those that are silent."""
+        """Send a heartbeat or pulse to live VMs and contact silent ones."""
         self._sequence += 1
         context = self._context
         if not self.announce():
@@ -80,7 +80,7 @@
             context.transport.send(vm_id, self.own())
 
     def announce(self, *, always: bool = False) -> bool:
-        """Send the own heartbeat in full if it has changed."""
+        """Send the full heartbeat to all if it has changed; return whether sent."""
         heartbeat = self.own()
         state_hash = hash_of_heartbeat(heartbeat)
         if state_hash == self._announced and not always:
@@ -90,7 +90,7 @@
         return True
 
     def send_full(self, vm_id: str) -> None:
-        """Send the own heartbeat in full to one VM."""
+        """Send the full heartbeat to one VM."""
         self._context.transport.send(vm_id, self.own())
 
     def _broadcast(self, message: Message) -> None:
--- a/src/pomelolane/membership/member.py
+++ b/src/pomelolane/membership/member.py
@@ -1,6 +1,7 @@
-"""One VM's membership: who is alive, who speaks for whom, what is leaving.
+"""One VM's membership: live VMs, delegates and leaving endpoints.
 
-It keeps the view; heartbeats, digests and marks are the work of its parts.
+The member maintains the view. Heartbeats, digests and leaving marks are handled by
+the other modules of this package.
 """
 
 from __future__ import annotations
@@ -35,10 +36,10 @@
 
 TICK_S = 0.1
 HEARTBEAT_ALIGN_MS = 100.0
-"""How much earlier than due a beat joins those of the neighbours.
+"""How early a heartbeat may be sent to coincide with that of another VM.
 
-VMs that beat together wake each other up twice a second instead of at every
-single heartbeat.
+VMs that send heartbeats together wake each other up twice a second instead of at
+every single heartbeat.
 """
 
 CLEAN_UP_INTERVAL_MS = 10_000.0
@@ -49,10 +50,10 @@
     """The :class:`~pomelolane.ports.Membership` of a running VM.
 
     Args:
-        context: Parts shared with the exchanges.
-        advertise: ``ip:port`` that others are told, empty for host and port.
-        vm_list: The platform's list, None where there is none.
-        is_endpoint: Whether a listed id is that of an endpoint.
+        context: State and components shared within the package.
+        advertise: ``ip:port`` announced to other VMs, empty for host and port.
+        vm_list: The platform's list of VMs, None where there is none.
+        is_endpoint: Returns whether a listed id is that of an endpoint.
     """
 
     def __init__(
@@ -91,31 +92,31 @@
         self._next_beat_ms = 0.0
         self._next_clean_up_ms = 0.0
 
-    # --- who is there -------------------------------------------------------
+    # --- live VMs -----------------------------------------------------------
 
     @property
     def transport(self) -> ZmqTransport:
-        """The messages to other VMs."""
+        """Transport for messages to other VMs."""
         return self._context.transport
 
     @property
     def vm_id(self) -> str:
-        """This VM."""
+        """Id of this VM."""
         return self._context.vm_id
 
     @property
     def data_centre(self) -> str:
-        """Where this VM stands."""
+        """Data centre of this VM."""
         return self._context.data_centre
 
     @property
     def incarnation(self) -> int:
-        """Number of this start of the VM."""
+        """Number of this start of the VM, higher after each restart."""
         return self._context.incarnation
 
     @property
     def is_delegate(self) -> bool:
-        """Whether this VM speaks for its data centre."""
+        """Whether this VM is a delegate of its data centre."""
         return self._exchange.is_delegate
 
     @property
@@ -128,23 +129,23 @@
         return self._view_publisher.view
 
     def on_change(self, callback: Callable[[View], None]) -> None:
-        """Call back after each change of the view."""
+        """Register a callback for changes of the view."""
         self._view_publisher.on_change(callback)
 
     def on_pause(self, callback: Callable[[float], None]) -> None:
-        """Call ``callback(paused_ms)`` when this process has not run for long."""
+        """Call ``callback(paused_ms)`` after a pause of this process."""
         self._on_pause.append(callback)
 
     def on_tick(self, callback: Callable[[], None]) -> None:
-        """Call back every :data:`TICK_S` while this process runs."""
+        """Register a callback for each tick, every :data:`TICK_S`."""
         self._on_tick.append(callback)
 
     def known_vms(self) -> int:
-        """Return how many VMs there may be, this one and silent ones included."""
+        """Return the number of known VMs, this one and silent ones included."""
         return len(self._context.contacts) + 1
 
     def local_peers(self) -> tuple[str, ...]:
-        """Return the other live VMs of the own data centre."""
+        """Return the other live VMs of this data centre."""
         return tuple(each.vm_id for each in self._context.table.heartbeats())
 
     def remote_delegates(self) -> tuple[str, ...]:
@@ -154,64 +155,64 @@
     # --- messages -----------------------------------------------------------
 
     def send(self, vm_id: str, message: Message) -> bool:
-        """Send through the transport."""
+        """Send a message through the transport."""
         return self.transport.send(vm_id, message)
 
     def subscribe(
         self, kind: type[Message], handler: Callable[[str, Message], None]
     ) -> None:
-        """Subscribe at the transport."""
+        """Register a handler for one class of messages."""
         self.transport.subscribe(kind, handler)
 
     # --- own state ----------------------------------------------------------
 
     def set_ready(self, ready: bool = True) -> None:
-        """Tell the others whether this VM takes callers."""
+        """Announce whether this VM accepts callers' requests."""
         self._context.state.ready = ready
         self._schedule_refresh()
 
     def set_draining(self) -> None:
-        """Tell the others that this VM is stopping."""
+        """Announce that this VM is draining."""
         self._context.state.draining = True
         self._schedule_refresh()
 
     def set_versions(self, versions: Mapping[str, int]) -> None:
-        """Tell the others the settings versions in force here."""
+        """Announce the settings versions in force on this VM."""
         self._context.state.versions = dict(sorted(versions.items()))
         self._schedule_refresh()
 
     def on_versions(self, callback: Callable[[str, Mapping[str, int]], None]) -> None:
-        """Call ``callback(vm_id, versions)`` with what others have in force."""
+        """Call ``callback(vm_id, versions)`` for versions that others announce."""
         self._on_versions.append(callback)
 
     # --- leaving endpoints --------------------------------------------------
 
     def mark_leaving(self, endpoint_id: str, source: str) -> None:
-        """Mark an endpoint as leaving and tell everybody at once."""
+        """Mark an endpoint as leaving and broadcast the mark at once."""
         self._leaving_broadcast.mark(endpoint_id, source)
         self._schedule_refresh()
 
     def clear_leaving(self, endpoint_id: str) -> None:
-        """Take back a mark made here."""
+        """Remove a mark that this VM made."""
         self._context.marks.clear_own(endpoint_id)
         self._schedule_refresh()
 
     def leaving_endpoints(self) -> frozenset[str]:
-        """Return the endpoints that anybody marks as leaving."""
+        """Return the endpoints that any VM marks as leaving."""
         return self._context.marks.known
 
     def on_leaving(self, callback: Callable[[str, str], None]) -> None:
-        """Call ``callback(endpoint_id, source)`` once for each mark."""
+        """Call ``callback(endpoint_id, source)`` once for each new mark."""
         self._leaving_broadcast.on_leaving(callback)
 
     def on_returned(self, callback: Callable[[str], None]) -> None:
-        """Call back when nobody marks an endpoint any more."""
+        """Call ``callback(endpoint_id)`` when no VM marks it any more."""
         self._leaving_broadcast.on_returned(callback)
 
-    # --- life ---------------------------------------------------------------
+    # --- lifecycle ----------------------------------------------------------
 
     async def start(self) -> None:
-        """Listen and look for the others."""
+        """Start listening and sending heartbeats."""
         context = self._context
         await context.transport.start()
         context.state.address = self._advertise or context.transport.address
@@ -222,7 +223,7 @@
             self._start_task(self._reader.run())
 
     async def stop(self) -> None:
-        """Take leave of the others and close the connections."""
+        """Announce the stop to the other VMs and close the connections."""
         context = self._context
         for task in self._tasks:
             task.cancel()
@@ -235,7 +236,7 @@
         await context.transport.stop()
 
     def tick(self) -> None:
-        """Do what is due; called every :data:`TICK_S`."""
+        """Run the due periodic work; called every :data:`TICK_S`."""
         context = self._context
         now_ms = context.clock.now_ms()
         for callback in self._on_tick:
@@ -272,7 +273,7 @@
             self._exchange.beat(now_ms)
 
     def _contact_listed(self) -> None:
-        """Try the VMs that the list names now, not at the next beat."""
+        """Contact newly listed VMs now instead of at the next heartbeat."""
         self._beat(self._context.clock.now_ms())
 
     def _clean_up(self, now_ms: float) -> None:
@@ -326,7 +327,7 @@
             callback(gap_ms)
 
     def _recover(self, now_ms: float) -> bool:
-        """End the stale spell after a pause; True where it ends now."""
+        """End the recovery after a pause; return whether it ends now."""
         resumed_ms = self._context.pause.resumed_ms
         if resumed_ms is None:
             return False
@@ -339,10 +340,10 @@
         self._context.pause.end_recovery()
         return True
 
-    # --- what others say ----------------------------------------------------
+    # --- received messages --------------------------------------------------
 
     def _handle_new_vm(self, vm_id: str) -> None:
-        # The digest tells a newcomer the addresses of the others around it.
+        # The digest gives a new VM the addresses of the others in its data centre.
         self._local.send_full(vm_id)
         self.transport.send(vm_id, self._exchange.own(reply=True))
 
