--- a/src/pomelolane/membership/addresses.py
+++ b/src/pomelolane/membership/addresses.py
@@ -1,6 +1,7 @@
-"""Where other VMs are reached, in the order of precedence of the sources.
+"""Addresses of other VMs, by precedence of their source.
 
-A VM's own address map wins over its seeds, and both win over what peers say.
+A VM's address map overrides its seeds; both override addresses learnt from peers
+and from the platform's list.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 
 class AddressBook:
-    """Addresses of VMs by precedence of their source.
+    """Maps VM ids to addresses.
 
     Args:
-        seeds: VMs known from the settings.
-        address_map: This VM's own routes, which override everything.
+        seeds: VMs and addresses given in the settings.
+        address_map: Addresses by VM id, which override all others.
     """
 
     def __init__(
@@ -31,16 +32,16 @@
         self._learnt: dict[str, str] = {}
 
     def learn(self, vm_id: str, address: str) -> None:
-        """Remember what a peer or the platform's list says, if well formed."""
+        """Store an address from a peer or the platform's list, if well formed."""
         try:
             self._learnt[vm_id] = checked_address(address)
         except ValueError:
             return
 
     def forget(self, vm_id: str) -> None:
-        """Drop what was learnt about a VM."""
+        """Drop the learnt address of a VM."""
         self._learnt.pop(vm_id, None)
 
     def find(self, vm_id: str) -> str:
-        """Return the VM's address, empty where none is known."""
+        """Return the VM's address, empty if none is known."""
         return self._fixed.get(vm_id) or self._learnt.get(vm_id, "")
--- a/src/pomelolane/membership/contacts.py
+++ b/src/pomelolane/membership/contacts.py
@@ -1,7 +1,7 @@
-"""VMs that might be alive: whom to try where nobody is heard.
+"""VMs that may be alive, and when to probe those that are silent.
 
-They come from the settings, from the platform's lagging list and from what
-peers say; none of these is an authority on who lives.
+They come from the settings, the platform's list, which lags behind, and digests and
+heartbeats of peers. None of these proves that a VM is alive.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 
 class Contacts:
-    """VMs to try, each at most once a second; pure, time is passed in.
+    """VMs to probe, each at most once a second; the caller passes in the time.
 
-    A VM that never answered is tried ever less often, since the platform's
-    list also holds machines that are no VMs of this system.
+    A listed machine that has never answered is probed with exponential backoff, since
+    the platform's list also contains machines that do not belong to this system.
 
     Args:
-        own_id: This VM, never a contact.
-        seeds: VMs known from the settings, never forgotten.
-        addresses: Where their addresses are kept.
+        own_id: Id of this VM, which is never a contact.
+        seeds: VMs given in the settings, which never expire.
+        addresses: Address book that is updated along with the contacts.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         return len(self._contacts)
 
     def is_vm(self, vm_id: str) -> bool:
-        """Tell whether an id is for sure that of a VM."""
+        """Return whether an id is certainly that of a VM of this system."""
         contact = self._contacts.get(vm_id)
         return contact is not None and contact.certain
 
@@ -70,14 +70,14 @@
         *,
         certain: bool = True,
     ) -> bool:
-        """Remember a VM that somebody speaks of; tell whether it is new here.
+        """Add or refresh a contact; return whether it is new.
 
         Args:
-            vm_id: The VM.
-            data_centre: Where it stands.
+            vm_id: Id of the VM.
+            data_centre: Data centre of the VM.
             address: Its ``ip:port``.
             now_ms: Current time.
-            certain: Whether it is a VM of this system for sure.
+            certain: Whether it certainly belongs to this system.
         """
         if vm_id == self._own_id or not address:
             return False
@@ -92,7 +92,7 @@
         return is_new
 
     def heard(self, vm_id: str, now_ms: float) -> None:
-        """Take note of a sign of life."""
+        """Record that a message of a VM arrived and end its probe backoff."""
         contact = self._contacts.get(vm_id)
         if contact is not None:
             contact.certain = True
@@ -100,13 +100,13 @@
             contact.interval_ms = PROBE_INTERVAL_MS
 
     def data_centres(self) -> set[str]:
-        """Return all data centres that are heard of."""
+        """Return the data centres of all contacts."""
         return {contact.data_centre for contact in self._contacts.values()}
 
     def due(
         self, data_centre: str, alive: Iterable[str], count: int, now_ms: float
     ) -> list[str]:
-        """Return VMs to try now, least recently tried first."""
+        """Return up to ``count`` VMs to probe now, the longest overdue first."""
         silent = [
             (contact.next_probe_ms, vm_id)
             for vm_id, contact in self._contacts.items()
@@ -119,7 +119,7 @@
         return names[:count]
 
     def expire(self, now_ms: float) -> list[str]:
-        """Forget VMs of which nobody has spoken for long; return them."""
+        """Drop and return contacts not refreshed in :data:`CONTACT_TIMEOUT_MS`."""
         old = [
             vm_id
             for vm_id, contact in self._contacts.items()
--- a/src/pomelolane/membership/context.py
+++ b/src/pomelolane/membership/context.py
@@ -1,6 +1,6 @@
-"""What the parts of one member share: who it is and what it says of itself.
+"""State and components shared by the modules of one member.
 
-The own state is changed by the member alone and read by whoever sends it.
+Only the member changes its own state; the senders of heartbeats and digests read it.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 @dataclass(slots=True)
 class OwnState:
-    """What this VM says of itself.
+    """State of this VM that heartbeats and digests announce.
 
     Attributes:
-        ready: Whether it takes callers.
-        draining: Whether it is stopping.
-        stopped: Whether it sends its last messages.
+        ready: Whether it accepts callers' requests.
+        draining: Whether it is shutting down.
+        stopped: Whether its final messages are being sent.
         address: ``ip:port`` at which others reach it.
         versions: Settings version in force by branch.
-        carries_per_s: Requests a second that it can schedule, 0 for unknown.
+        carries_per_s: Requests per second that it can schedule, 0 if unknown.
     """
 
     ready: bool = False
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberContext:
-    """What the parts of one member share.
+    """Components shared by the modules of one member.
 
     Attributes:
-        vm_id: This VM.
-        incarnation: Number of its start.
-        data_centre: Where it stands.
-        state: What it says of itself.
-        transport: Messages to others.
-        contacts: VMs that might be alive.
-        table: VMs of the own data centre that are.
+        vm_id: Id of this VM.
+        incarnation: Number of this start of the VM.
+        data_centre: Data centre of this VM.
+        state: State that this VM announces.
+        transport: Transport for messages to other VMs.
+        contacts: VMs that may be alive.
+        table: Live VMs of this data centre.
         marks: Endpoints that are leaving.
-        pause: Whether this process has just not run.
+        pause: Detects pauses of this process.
         clock: Time source.
     """
 
@@ -67,5 +67,5 @@
     clock: Clock
 
     def heard_ms(self) -> float:
-        """Return the time that a message read now proves its sender alive."""
+        """Return the time at which a message read now shows its sender alive."""
         return self.pause.heard_ms(self.clock.now_ms())
--- a/src/pomelolane/membership/envelope.py
+++ b/src/pomelolane/membership/envelope.py
@@ -1,7 +1,6 @@
-"""The envelope around messages: who sent them, in which start and order.
+"""Frame envelope with the sender's incarnation and a sequence number.
 
-It lets a receiver refuse what an earlier start of a VM sent and what was sent
-before already.
+A receiver uses it to reject frames from an earlier start of a VM and replayed frames.
 """
 
 from __future__ import annotations
@@ -19,21 +18,21 @@
     from pomelolane.ports import Clock
 
 SENDER_TIMEOUT_MS = 60_000
-"""Silence after which a sender's numbers are forgotten.
+"""Silence after which a sender's incarnation and sequence number are dropped.
 
-A VM replaced on a machine whose wall clock is behind would otherwise never be
-heard again; a recorded connection can't be replayed under CURVE anyway.
+Otherwise a VM that is replaced on a machine whose wall clock is behind would be
+rejected for ever. CURVE prevents the replay of a recorded connection by itself.
 """
 
 _Natural = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What goes over the wire in one frame.
+    """Content of one frame on the wire.
 
     Attributes:
         incarnation: Number of the sender's start.
-        sequence: Grows by one with each envelope to the same receiver.
+        sequence: Incremented with each envelope to the same receiver.
         messages: Encoded messages.
     """
 
@@ -58,7 +57,7 @@
     """Decode a frame.
 
     Raises:
-        TransportError: The bytes are no envelope.
+        TransportError: The bytes are not a valid envelope.
     """
     try:
         return _decoder.decode(data)
@@ -74,7 +73,7 @@
 
 
 class ReplayGuard:
-    """Admits each envelope of the newest start of a sender once.
+    """Accepts each envelope of a sender's latest start only once.
 
     Args:
         clock: Time source.
@@ -85,10 +84,11 @@
         self._senders: dict[str, _Sender] = {}
 
     def admit(self, vm_id: str, envelope: Envelope) -> None:
-        """Take note of an envelope.
+        """Check and record an envelope.
 
         Raises:
-            TransportError: It is from an earlier start, or not a new one.
+            TransportError: It is from an earlier start, or its sequence number is
+                not higher than the last one.
         """
         now_ms = self._clock.now_ms()
         known = self._senders.get(vm_id)
@@ -97,7 +97,7 @@
         self._senders[vm_id] = _Sender(envelope.incarnation, envelope.sequence, now_ms)
 
     def forget_silent(self) -> None:
-        """Free the memory of senders that have long been silent."""
+        """Drop the records of senders silent for :data:`SENDER_TIMEOUT_MS`."""
         limit_ms = self._clock.now_ms() - SENDER_TIMEOUT_MS
         silent = [
             name for name, known in self._senders.items() if known.heard_ms < limit_ms
--- a/src/pomelolane/membership/hashing.py
+++ b/src/pomelolane/membership/hashing.py
@@ -1,7 +1,7 @@
-"""Short content hashes by which a pulse names what it stands for.
+"""Content hashes that pulses carry in place of a full heartbeat or digest.
 
-They only save bytes: a wrong match would show an outdated peer until its next
-change, so 32 bits are enough.
+They only save bandwidth: a collision would leave a peer's state outdated until its
+next change, so 32 bits are enough.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 def hash_of_heartbeat(heartbeat: Heartbeat) -> int:
-    """Return the hash of a heartbeat's content, its sequence aside."""
+    """Return the hash of a heartbeat's content without its sequence number."""
     return _hash(msgspec.structs.replace(heartbeat, sequence=0))
 
 
 def hash_of_digest(digest: Digest) -> int:
-    """Return the hash of a digest's content, its sequence and purpose aside."""
+    """Return the hash of a digest's content without sequence and reply flag."""
     return _hash(msgspec.structs.replace(digest, sequence=0, reply=False))
 
 
--- a/src/pomelolane/membership/keys.py
+++ b/src/pomelolane/membership/keys.py
@@ -1,4 +1,4 @@
-"""Who may speak as which VM: CURVE keys given by the settings.
+"""Authentication of VMs by CURVE keys given in the settings.
 
 A cluster is a table of public keys: ``vm=KEY`` binds one VM id to one key, so
 that the sender's id is authenticated and not merely claimed; a bare ``KEY`` is a key
@@ -9,10 +9,10 @@
 serves both directions: a VM accepts connections from listed keys only, and
 connects to a peer only if that proves to hold the private half of its listed
 key. One list for both was preferred to a certificate authority (another service
-to run) and to trust on first use (VMs are replaced at any time and keep
+to run) and to trust on first use (VMs are replaced at any time and persist
 nothing).
 
-Without keys a VM talks in the clear, and then over loopback addresses only.
+Without keys a VM communicates unencrypted, and then over loopback addresses only.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
     from collections.abc import Sequence
 
 SHARED_KEY_NAME = "*"
-"""Stands in the table for every VM that is not listed by name."""
+"""Table entry that applies to every VM not listed by name."""
 
 UNLISTED_KEY = "key not listed"
 USER_ID_PROPERTY = "User-Id"
 """Property of a received frame in which ZeroMQ states the sender's key."""
 
 _KEY_BYTES = 32
-_CLUSTER_ALLOWED = "vm=KEY for each VM, or one KEY for all others, parted by commas"
+_CLUSTER_ALLOWED = "vm=KEY for each VM, or one KEY for all others, separated by commas"
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,14 +58,14 @@
     allowed: dict[str, bytes]
 
     def key_of(self, vm_id: str) -> bytes:
-        """Return the key that a VM has to prove, empty where it has none."""
+        """Return the public key required of a VM, empty if none is listed."""
         return self.allowed.get(vm_id) or self.allowed.get(SHARED_KEY_NAME, b"")
 
 
 def cluster_keys_from_settings(
     private_key_hex: str, public_key_hex: str, cluster_keys: Sequence[str]
 ) -> ClusterKeys | None:
-    """Build the keys from their three settings; None where none is given.
+    """Build the keys from their three settings; None if none is given.
 
     Raises:
         SettingError: A setting is missing or malformed.
@@ -104,7 +104,7 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Tell whether an IP number never leaves this machine."""
+    """Return whether a host is a loopback IP address."""
     try:
         return ipaddress.ip_address(host).is_loopback
     except ValueError:
@@ -112,10 +112,10 @@
 
 
 class KeyAuthenticator(AsyncioAuthenticator):
-    """Answers ZeroMQ's authentication requests on the event loop.
+    """Handles ZeroMQ's authentication requests on the event loop.
 
     Args:
-        context: The context whose server sockets it guards.
+        context: ZeroMQ context whose server sockets are protected.
         keys: The cluster's keys.
     """
 
@@ -126,7 +126,7 @@
         self.configure_curve_callback("*", self)
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether the key is listed; named so by the library."""
+        """Return whether the key is listed; the library prescribes the name."""
         del domain
         if key in self._listed:
             return True
--- a/src/pomelolane/membership/leaving_broadcast.py
+++ b/src/pomelolane/membership/leaving_broadcast.py
@@ -1,6 +1,6 @@
-"""Passes on at once that an endpoint is leaving, to every VM that is heard.
+"""Broadcasts leaving endpoints at once to all live VMs.
 
-What is lost on the way comes again with each heartbeat and digest.
+Heartbeats and digests repeat each mark, so a lost message is made up for.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class LeavingBroadcast:
-    """Makes, passes on and follows marks of leaving endpoints.
+    """Makes, forwards and expires marks of leaving endpoints.
 
     Args:
-        context: The member's parts.
-        exchange: Who speaks for the other data centres.
+        context: State and components shared within the package.
+        exchange: Provides the delegates and marks of other data centres.
     """
 
     def __init__(self, context: MemberContext, exchange: DigestExchange) -> None:
@@ -33,28 +33,28 @@
         self._exchange = exchange
         self._on_leaving: list[Callable[[str, str], None]] = []
         self._on_returned: list[Callable[[str], None]] = []
-        context.transport.subscribe(EndpointLeaving, self._take)
+        context.transport.subscribe(EndpointLeaving, self._handle_leaving)
 
     def on_leaving(self, callback: Callable[[str, str], None]) -> None:
-        """Call ``callback(endpoint_id, source)`` once for each mark."""
+        """Call ``callback(endpoint_id, source)`` once for each new mark."""
         self._on_leaving.append(callback)
 
     def on_returned(self, callback: Callable[[str], None]) -> None:
-        """Call back when nobody marks an endpoint any more."""
+        """Call ``callback(endpoint_id)`` when no VM marks it any more."""
         self._on_returned.append(callback)
 
     def mark(self, endpoint_id: str, source: str) -> None:
-        """Mark an endpoint and tell everybody."""
+        """Mark an endpoint as leaving and broadcast the mark if it is new."""
         now_ms = self._context.clock.now_ms()
         if not self._context.marks.mark_own(endpoint_id, source, now_ms):
             return
         message = EndpointLeaving(endpoint_id, source)
-        self._send_to_own(message)
-        self._send_elsewhere(message)
-        self._tell((endpoint_id,), source)
+        self._send_to_local_peers(message)
+        self._send_to_remote_delegates(message)
+        self._notify((endpoint_id,), source)
 
-    def follow(self) -> None:
-        """Take in what heartbeats and digests say, and end old marks."""
+    def refresh(self) -> None:
+        """Apply the marks in heartbeats and digests, and drop expired ones."""
         context = self._context
         now_ms = context.clock.now_ms()
         repeated = self._exchange.leaving()
@@ -62,32 +62,32 @@
             *(heartbeat.leaving for heartbeat in context.table.heartbeats())
         )
         if repeated:
-            self._tell(context.marks.refresh(repeated, now_ms), MEMBERS_SOURCE)
+            self._notify(context.marks.refresh(repeated, now_ms), MEMBERS_SOURCE)
         for endpoint_id in context.marks.expire(now_ms):
             for callback in self._on_returned:
                 callback(endpoint_id)
 
-    def _take(self, sender: str, message: EndpointLeaving) -> None:
+    def _handle_leaving(self, sender: str, message: EndpointLeaving) -> None:
         context = self._context
         new = context.marks.refresh((message.endpoint_id,), context.clock.now_ms())
         if not new:
             return
         if self._exchange.is_delegate:
             if sender in context.table:
-                self._send_elsewhere(message)
+                self._send_to_remote_delegates(message)
             else:
-                self._send_to_own(message)
-        self._tell(new, message.source)
+                self._send_to_local_peers(message)
+        self._notify(new, message.source)
 
-    def _send_to_own(self, message: EndpointLeaving) -> None:
+    def _send_to_local_peers(self, message: EndpointLeaving) -> None:
         for heartbeat in self._context.table.heartbeats():
             self._context.transport.send(heartbeat.vm_id, message)
 
-    def _send_elsewhere(self, message: EndpointLeaving) -> None:
+    def _send_to_remote_delegates(self, message: EndpointLeaving) -> None:
         for vm_id in self._exchange.remote_delegates():
             self._context.transport.send(vm_id, message)
 
-    def _tell(self, endpoint_ids: Iterable[str], source: str) -> None:
+    def _notify(self, endpoint_ids: Iterable[str], source: str) -> None:
         for endpoint_id in endpoint_ids:
             log_event(ENDPOINT_LEAVING, endpoint=endpoint_id, source=source)
             for callback in self._on_leaving:
--- a/src/pomelolane/membership/links.py
+++ b/src/pomelolane/membership/links.py
@@ -1,6 +1,6 @@
-"""One outgoing connection to another VM, with its queue.
+"""Outgoing connection to another VM, with its send queue.
 
-Messages that become ready in one turn of the loop leave in one frame.
+Messages queued in one iteration of the event loop are sent in one frame.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 CLOSE_LINGER_MS = 200
 SOCKET_QUEUE = 16
 VM_PROPERTY = "X-Vm"
-"""Property of a connection in which the connecting VM states its id."""
+"""Connection property that carries the connecting VM's id."""
 
 
 class Link:
-    """A DEALER socket to one VM; only ever written to.
+    """A write-only DEALER socket to one VM.
 
-    The queue is kept here and ZeroMQ's own is short, so that what waited too
-    long is dropped instead of arriving late after a cut has healed.
+    The queue is held here and ZeroMQ's own is short, so that messages that waited too
+    long are dropped instead of arriving late after a network partition.
 
     Args:
         context: ZeroMQ context.
-        vm_id: This VM's id, stated at the handshake.
+        vm_id: This VM's id, sent in the handshake.
         incarnation: Number of this VM's start.
         address: The peer's ``ip:port``.
-        keys: Own keys, None in the clear.
-        server_key: Key that the peer has to prove.
+        keys: This VM's keys, None for an unencrypted connection.
+        server_key: Public key that the peer must hold.
         clock: Time source.
     """
 
@@ -71,7 +71,7 @@
         self._socket.connect(f"tcp://{address}")
 
     def put(self, data: bytes) -> bool:
-        """Queue an encoded message; False where the queue is full."""
+        """Queue an encoded message; return False if the queue is full."""
         if len(self._queue) >= MAX_QUEUED:
             self._drop_overdue()
         if len(self._queue) >= MAX_QUEUED:
@@ -82,7 +82,7 @@
         return True
 
     def close(self) -> None:
-        """Send what is queued if that can be done at once, then close."""
+        """Send queued messages as far as possible without blocking, then close."""
         if self._timer is not None:
             self._timer.cancel()
         while self._queue and self._send_batch():
--- a/src/pomelolane/membership/listing.py
+++ b/src/pomelolane/membership/listing.py
@@ -1,6 +1,7 @@
-"""Reads the platform's lagging list of VMs, as a delegate or while alone.
+"""Polls the platform's list of VMs, on delegates only.
 
-The list only says whom to try and which endpoints are leaving.
+A VM without peers is a delegate too. The list lags behind; it only provides VMs to
+probe and leaving endpoints.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 
 
 class ListReader:
-    """Polls the list.
+    """Polls the platform's list of VMs.
 
     Args:
         vm_list: The platform's list.
-        context: The member's parts.
-        exchange: Whether this VM is a delegate.
-        broadcast: Where endpoints are marked.
-        is_endpoint: Whether a listed id is that of an endpoint, as far as the
+        context: State and components shared within the package.
+        exchange: Provides whether this VM is a delegate.
+        broadcast: Marks leaving endpoints.
+        is_endpoint: Returns whether a listed id is that of an endpoint, as far as the
             settings are known.
-        on_new: Called when the list names VMs that nobody has spoken of yet.
+        on_new: Called when the list contains VMs that are not contacts yet.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
             if self._exchange.is_delegate:
                 await self._poll()
             else:
-                self._keep_marks(frozenset())
+                self._sync_marks(frozenset())
             await asyncio.sleep(POLL_S)
 
     async def _poll(self) -> None:
@@ -65,9 +66,9 @@
             entries = await self._vm_list.read()
         except PlatformError:
             return
-        self._take(entries)
+        self._apply(entries)
 
-    def _take(self, entries: Sequence[ListedVm]) -> None:
+    def _apply(self, entries: Sequence[ListedVm]) -> None:
         context = self._context
         now_ms = context.clock.now_ms()
         any_new = False
@@ -83,9 +84,9 @@
             )
         if any_new:
             self._on_new()
-        self._keep_marks(frozenset(entry.vm_id for entry in entries if entry.leaving))
+        self._sync_marks(frozenset(entry.vm_id for entry in entries if entry.leaving))
 
-    def _keep_marks(self, leaving: frozenset[str]) -> None:
+    def _sync_marks(self, leaving: frozenset[str]) -> None:
         marks = self._context.marks
         for endpoint_id in sorted(leaving - set(marks.own)):
             if not self._is_vm(endpoint_id):
--- a/src/pomelolane/membership/member.py
+++ b/src/pomelolane/membership/member.py
@@ -302,7 +302,7 @@
         draining[context.vm_id] = own.draining
         delegates = choose_delegates(context.data_centre, draining)
         self._exchange.set_role(context.vm_id in delegates, now_ms)
-        self._leaving_broadcast.follow()
+        self._leaving_broadcast.refresh()
         if self.is_stale:
             return
         peers = self._exchange.remote_peers()
--- a/src/pomelolane/membership/recorded.py
+++ b/src/pomelolane/membership/recorded.py
@@ -1,7 +1,7 @@
-"""Operators' marks of leaving endpoints, kept in the platform's table.
+"""Operators' marks of leaving endpoints, stored in the platform's table.
 
-They reach data centres that are cut off from the others, and outlive the VM
-that took the operator's word.
+They reach data centres that are partitioned from the others, and survive the VM
+that received the operator's request.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 RECORD_SOURCE = "record"
 POLL_S = 1.0
 UNDECLARED_RETENTION_MS = 60_000.0
-"""How long a mark of an endpoint that no VM knows any more is kept; longer
-than any VM can be behind in its settings."""
+"""How long the mark of an endpoint that is not declared is kept: longer than any
+VM's settings can be out of date."""
 
 
 class _Mark(msgspec.Struct, frozen=True):
@@ -33,31 +33,32 @@
 
 
 class MarkingMember(Protocol):
-    """What is needed of a member; see :class:`~pomelolane.membership.Member`."""
+    """Required interface of a :class:`~pomelolane.membership.Member`."""
 
     @property
     def vm_id(self) -> str:
-        """This VM."""
+        """Id of this VM."""
 
     @property
     def is_delegate(self) -> bool:
-        """Whether this VM speaks for its data centre."""
+        """Whether this VM is a delegate of its data centre."""
 
     def mark_leaving(self, endpoint_id: str, source: str) -> None:
-        """Mark an endpoint and tell everybody."""
+        """Mark an endpoint as leaving and broadcast the mark."""
 
     def clear_leaving(self, endpoint_id: str) -> None:
-        """Take back a mark made here."""
+        """Remove a mark that this VM made."""
 
 
 class RecordedMarks:
-    """Writes marks, and reads those of others as a delegate.
+    """Writes marks to the table and, on a delegate, applies those of all VMs.
 
     Args:
-        table: Where they are kept.
-        member: Takes what was read.
-        may_exist: Whether an endpoint is declared, as far as the settings are known.
-        wall: Time of day, for dropping marks of endpoints that are gone.
+        table: Table that stores the marks.
+        member: Member to which the stored marks are applied.
+        may_exist: Returns whether an endpoint is declared, as far as the settings are
+            known.
+        wall: Wall clock, for dropping marks of undeclared endpoints.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         self._read: set[str] = set()
 
     async def record(self, endpoint_id: str) -> None:
-        """Write an operator's mark, for as long as the platform does not take it."""
+        """Write an operator's mark, retrying until the platform accepts it."""
         self._recorded_here.add(endpoint_id)
         mark = _Mark(self._member.vm_id, self._wall.now_ms())
         write = Write(MARK_PREFIX + endpoint_id, msgspec.json.encode(mark), None)
@@ -88,25 +89,25 @@
                 return
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Poll until cancelled."""
         while True:
             await self.read()
             await asyncio.sleep(POLL_S)
 
     async def read(self) -> None:
-        """Read once, as a delegate; other VMs only hold the words taken here."""
+        """Poll once; a VM that is no delegate only keeps marks recorded by itself."""
         self._clear_undeclared_here()
         if not self._member.is_delegate:
-            self._follow(set())
+            self._apply(set())
             return
         try:
             rows = await self._table.scan(MARK_PREFIX)
-            self._follow({_endpoint_of(row) for row in rows})
+            self._apply({_endpoint_of(row) for row in rows})
             await self._drop_undeclared(rows)
         except PlatformError:
             return
 
-    def _follow(self, recorded: set[str]) -> None:
+    def _apply(self, recorded: set[str]) -> None:
         for endpoint_id in sorted(recorded - self._read):
             self._member.mark_leaving(endpoint_id, RECORD_SOURCE)
         for endpoint_id in sorted(self._read - recorded):
@@ -114,7 +115,7 @@
         self._read = recorded
 
     def _clear_undeclared_here(self) -> None:
-        """Take back the words taken here whose endpoints are gone."""
+        """Clear marks recorded by this VM whose endpoints are no longer declared."""
         for endpoint_id in sorted(self._recorded_here):
             if not self._may_exist(endpoint_id):
                 self._recorded_here.remove(endpoint_id)
--- a/src/pomelolane/membership/remotes.py
+++ b/src/pomelolane/membership/remotes.py
@@ -1,7 +1,7 @@
-"""The VMs of other data centres, kept while those who speak for them change.
+"""VMs of other data centres, retained while their delegates change.
 
-A delegate that is new to its role knows few VMs of its data centre, and what it says
-replaces what others said before. Only who has listed a VM can say that it is gone.
+A new delegate knows few VMs of its data centre, and its digest replaces earlier ones.
+Therefore only a source that has listed a VM can show, by omitting it, that it is gone.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class RemoteMembers:
-    """Remembers who was listed lately; pure, time is passed in."""
+    """VMs listed recently in digests; the caller passes in the time."""
 
     def __init__(self) -> None:
         self._known: dict[str, _Known] = {}
         self._overdue_after_ms = math.inf
 
     def has_overdue(self, now_ms: float) -> bool:
-        """Tell whether :meth:`update` would drop a VM that nobody lists."""
+        """Return whether :meth:`update` would drop a VM that no digest lists."""
         return now_ms > self._overdue_after_ms
 
     def update(
@@ -43,18 +43,18 @@
         gone: Collection[str],
         now_ms: float,
     ) -> dict[str, Peer]:
-        """Return the VMs that are listed now, and those that were lately.
+        """Return the VMs that are listed now or were listed recently.
 
-        Without the latter, VMs that start together would take live ones for lost, and
-        the roles of schedulers would move with each view.
+        Without the latter, VMs that start together would consider live ones lost, and
+        the scheduler roles would move with each view.
 
         Args:
-            listed: The VMs that somebody lists now.
-            listed_ms: When a source that lists it was last heard, for each of them
-                and for those that were listed lately.
-            data_centres: Those of which anybody speaks still.
-            gone: VMs that somebody has listed before and lists no more.
-            now_ms: The time.
+            listed: VMs in current digests.
+            listed_ms: For each VM listed now or recently, when a source that lists it
+                was last heard.
+            data_centres: Data centres of which there is a digest.
+            gone: VMs that a source has stopped listing.
+            now_ms: Current time.
         """
         for vm_id in gone:
             self._known.pop(vm_id, None)
--- a/src/pomelolane/membership/rendezvous.py
+++ b/src/pomelolane/membership/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: VMs with equal views choose alike without a message.
+"""Rendezvous hashing: VMs with equal views agree on a choice without messages.
 
-When a candidate goes, only what it was chosen for moves.
+When a candidate is removed, only the keys assigned to it are reassigned.
 """
 
 from __future__ import annotations
@@ -29,5 +29,5 @@
 
 
 def weight(key: str, name: str) -> int:
-    """Return the hash by which a candidate ranks for a key."""
+    """Return the hash by which a candidate is ranked for a key."""
     return xxh3_64_intdigest(f"{key}\0{name}".encode())
--- a/src/pomelolane/membership/transport.py
+++ b/src/pomelolane/membership/transport.py
@@ -1,7 +1,7 @@
 """Messages between VMs over ZeroMQ, on the process's one event loop.
 
-Each VM binds a ROUTER socket that it only reads and connects a DEALER to each
-peer that it only writes, so an answer travels over the answerer's own link.
+Each VM binds a ROUTER socket that it only reads from, and connects to each peer a
+DEALER socket that it only writes to. A reply is thus sent over the replier's own link.
 """
 
 from __future__ import annotations
@@ -38,20 +38,20 @@
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 MAX_READ_BATCH = 256
 RECEIVE_QUEUE = 10_000
-NOT_LOOPBACK = "no keys, and the address is none of this machine's"
-UNENCRYPTED_ALLOWED = "a loopback address unless keys are given"
+NOT_LOOPBACK = "no cluster keys are set and the address is not a loopback address"
+UNENCRYPTED_ALLOWED = "a loopback address unless cluster keys are set"
 
 
 class ZmqTransport:
     """The :class:`~pomelolane.ports.Transport` between processes.
 
     Args:
-        vm_id: This VM.
+        vm_id: Id of this VM.
         incarnation: Number of this start of the VM.
         host: Address to listen on.
         port: Port to listen on, 0 for any free one.
-        addresses: Where peers are.
-        keys: CURVE keys, None to talk in the clear over loopback.
+        addresses: Addresses of peers.
+        keys: CURVE keys, None for unencrypted messages over loopback.
         clock: Time source.
     """
 
@@ -132,7 +132,7 @@
         loop.call_soon(self._read_ready)
 
     async def stop(self) -> None:
-        """Close all sockets; queued messages get a moment to leave."""
+        """Close all sockets after a short attempt to send queued messages."""
         for vm_id in list(self._links):
             self.disconnect(vm_id)
         if self._router is not None:
@@ -148,7 +148,10 @@
             self._context = None
 
     def send(self, vm_id: str, message: Message) -> bool:
-        """Queue a message without blocking; one to oneself loops back."""
+        """Queue a message without blocking; return whether it was queued.
+
+        A message to this VM itself is delivered locally.
+        """
         if vm_id == self.vm_id:
             loop = asyncio.get_running_loop()
             loop.call_soon(self._deliver, vm_id, message)
@@ -165,7 +168,7 @@
     def subscribe(
         self, kind: type[Message], handler: Callable[[str, Message], None]
     ) -> None:
-        """Call ``handler(sender_vm_id, message)`` for each message of a kind."""
+        """Call ``handler(sender_vm_id, message)`` for each message of a class."""
         self._handlers[kind].append(handler)
 
     def disconnect(self, vm_id: str) -> None:
@@ -178,7 +181,7 @@
             link.close()
 
     def forget_silent(self) -> None:
-        """Free what is remembered of senders that have long been silent."""
+        """Drop the replay records of senders that have long been silent."""
         self._replay_guard.forget_silent()
 
     def _bind(self) -> zmq.Socket:
@@ -230,8 +233,8 @@
         )
 
     def _read_ready(self) -> None:
-        # The socket's descriptor signals edges, so it is read until empty; a
-        # long backlog yields to the rest of the loop in between.
+        # The socket's descriptor is edge-triggered, so the socket is read until empty;
+        # a long backlog yields to other event loop work in between.
         for _ in range(MAX_READ_BATCH):
             router = self._router
             if router is None or not router.getsockopt(zmq.EVENTS) & zmq.POLLIN:
@@ -257,7 +260,7 @@
 
     def _check_sender(self, sender: str, frame: zmq.Frame) -> None:
         if not sender:
-            raise TransportError("sender not stated")
+            raise TransportError("the connection does not state its VM id")
         if self._keys is None:
             return
         key = _property(frame, USER_ID_PROPERTY)
@@ -269,7 +272,7 @@
             try:
                 handler(sender, message)
             except Exception as error:
-                # A fault in one part must not stop the others' messages.
+                # An error in one handler must not keep messages from the others.
                 self.handler_errors += 1
                 name = getattr(handler, "__qualname__", repr(handler))
                 log_event(TASK_FAILED, task=name, error=repr(error))
--- a/src/pomelolane/membership/view.py
+++ b/src/pomelolane/membership/view.py
@@ -1,6 +1,6 @@
-"""The current view and who is told of its changes.
+"""Holds the current view and notifies callbacks of its changes.
 
-A view is replaced as a whole, so whoever holds one has a consistent picture.
+A view is replaced as a whole and never modified, so each one is consistent.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class ViewPublisher:
-    """Holds the view and calls back after each change of it.
+    """Holds the current view and calls back after each change.
 
     Args:
-        own: This VM itself.
+        own: This VM.
     """
 
     def __init__(self, own: Peer) -> None:
@@ -36,22 +36,22 @@
         return self._view
 
     def on_change(self, callback: Callable[[View], None]) -> None:
-        """Call back after each change."""
+        """Register a callback for changes of the view."""
         self._callbacks.append(callback)
 
     def flush_log(self, now_ms: float) -> None:
-        """Tell operators of changes that have gathered."""
+        """Log collected changes that are due."""
         self._log.flush(now_ms)
 
     def replace(
         self, peers: Mapping[str, Peer], silent_ms: Mapping[str, float], now_ms: float
     ) -> bool:
-        """Make the given VMs the view; False where they are already.
+        """Replace the view; return False if its VMs are unchanged.
 
         Args:
-            peers: The VMs.
-            silent_ms: How long those were silent that have left because of it.
-            now_ms: The time.
+            peers: All VMs of the new view.
+            silent_ms: Silence of each VM that was dropped for it.
+            now_ms: Current time.
         """
         before = self._view
         if peers == before.peers:
@@ -67,7 +67,7 @@
 
 
 def peer_from_heartbeat(heartbeat: Heartbeat) -> Peer:
-    """Return the peer that a heartbeat speaks of."""
+    """Build the peer of a heartbeat's sender."""
     return Peer(
         heartbeat.vm_id,
         heartbeat.incarnation,
@@ -80,7 +80,7 @@
 
 
 def peer_from_state(state: MemberState, data_centre: str) -> Peer:
-    """Return the peer that a line of a digest speaks of."""
+    """Build the peer of a member state in a digest."""
     return Peer(
         state.vm_id,
         state.incarnation,
--- a/src/pomelolane/membership/viewlog.py
+++ b/src/pomelolane/membership/viewlog.py
@@ -1,7 +1,6 @@
-"""Tells operators of changes of the view, one line for each data centre.
+"""Logs changes of the view, batched into one line per data centre.
 
-A line for each VM that each VM sees would be more than a log may hold when a fleet
-starts.
+One line per VM on every VM would flood the logs when a fleet starts.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
     from pomelolane.ports import Peer, View
 
 LOG_DELAY_MS = 500.0
-"""How long changes are gathered: as long as from one heartbeat to the next, in which a
-VM that starts meets most of the others."""
+"""How long changes are collected: one heartbeat interval, in which a starting VM
+discovers most of the others."""
 
 
 class ViewLog:
-    """Gathers changes until they are told; pure, time is passed in."""
+    """Collects changes until they are logged; the caller passes in the time."""
 
     def __init__(self) -> None:
         self._up: dict[str, Peer] = {}
@@ -32,7 +31,7 @@
     def record(
         self, before: View, after: View, silent_ms: Mapping[str, float], now_ms: float
     ) -> None:
-        """Take note of a change; one that is taken back is not told."""
+        """Record a change; one that is reverted before the flush is not logged."""
         for vm_id, peer in after.peers.items():
             known = before.peers.get(vm_id)
             if known is not None and known.incarnation == peer.incarnation:
@@ -50,7 +49,7 @@
             self._since_ms = now_ms
 
     def flush(self, now_ms: float) -> None:
-        """Write what has gathered for long enough."""
+        """Log the changes once :data:`LOG_DELAY_MS` has passed since the first."""
         if self._since_ms is None or now_ms - self._since_ms < LOG_DELAY_MS:
             return
         self._log_up()
