--- a/src/pomelolane/messages/__init__.py
+++ b/src/pomelolane/messages/__init__.py
@@ -1,7 +1,7 @@
 """Messages between VMs, encoded as MessagePack by msgspec.
 
-Each is a tagged struct; ages and budgets travel as durations because clocks
-of two VMs are never compared.
+Each is a tagged struct. Ages and time budgets are sent as durations, because the clocks
+of different VMs are never compared.
 """
 
 from pomelolane.messages.base import (
--- a/src/pomelolane/messages/base.py
+++ b/src/pomelolane/messages/base.py
@@ -1,6 +1,6 @@
-"""What all messages between VMs have in common.
+"""Base class of the messages between VMs.
 
-The tag, which is the class's name, tells them apart on the wire.
+Each class is identified on the wire by its name as the tag.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of everything that one VM sends to another."""
+    """Base class of all messages that one VM sends to another."""
 
 
 __all__ = [
--- a/src/pomelolane/messages/claims.py
+++ b/src/pomelolane/messages/claims.py
@@ -1,6 +1,7 @@
-"""Messages about claims of requests that may run only once.
+"""Messages about claims on requests that must not run twice.
 
-VMs ask the holder of a claim what became of it, and gather writes for one commit.
+VMs query the state of a claimed request, and relay conditional writes to one VM that
+commits them in batches.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 
 
 class KeyQuery(Message, frozen=True):
-    """Ask the holder of a claim what became of the request."""
+    """Query the holder of a claim for the state of the request."""
 
     query_id: str
     key: str
 
 
 class KeyAnswer(Message, frozen=True):
-    """The holder's answer.
+    """Reply of the claim's holder to a query.
 
     Attributes:
         query_id: Copied from the query.
         known: Whether this incarnation holds the key.
-        dispatched: Whether a byte may have gone to an endpoint.
-        endpoint_id: Where it runs or ran, empty if nowhere.
-        stream_id: The engine's stream, empty if none.
-        finished: Whether it has ended.
+        dispatched: Whether any byte may have been sent to an endpoint.
+        endpoint_id: Endpoint on which it runs or ran, empty if none.
+        stream_id: Id of the engine's stream, empty if none.
+        finished: Whether the request has ended.
         outcome: Empty on success, else an :class:`Outcome` value.
     """
 
@@ -40,12 +41,12 @@
 
 
 class RelayedWrite(msgspec.Struct, frozen=True, array_like=True):
-    """One conditional write on its way to the VM that commits it.
+    """A conditional write relayed to the VM that commits it.
 
     Attributes:
         key: Row key.
         value: New value.
-        if_version: Version the row must have, 0 for absent, None for any.
+        if_version: Required version of the row, 0 for absent, None for any.
     """
 
     key: str
@@ -54,13 +55,13 @@
 
 
 class RelayedResult(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a relayed write.
+    """Result of a relayed write.
 
     Attributes:
         applied: Whether its condition held.
-        version: The row's version afterwards.
-        unavailable: Whether it was certainly not applied.
-        unknown: Whether the reply to its commit was lost.
+        version: The row's version after the commit.
+        unavailable: Whether the commit failed and certainly did not apply it.
+        unknown: Whether the reply to the commit was lost, so that it may be applied.
     """
 
     applied: bool = False
@@ -70,12 +71,12 @@
 
 
 class ClaimBatch(Message, frozen=True):
-    """A VM to the one that gathers writes of its data centre: commit these.
+    """Ask the VM that batches a data centre's writes to commit some.
 
     Attributes:
         batch_id: The sender's number for the batch.
-        lazy: Whether they may wait for company.
-        writes: The writes, each on its own condition.
+        lazy: Whether they may be delayed to be batched with others.
+        writes: The writes, each with its own condition.
     """
 
     batch_id: int
@@ -84,7 +85,7 @@
 
 
 class ClaimResults(Message, frozen=True):
-    """The answer to a batch, in the order of its writes."""
+    """Results of a batch, in the order of its writes."""
 
     batch_id: int
     results: tuple[RelayedResult, ...]
--- a/src/pomelolane/messages/declarations.py
+++ b/src/pomelolane/messages/declarations.py
@@ -1,6 +1,6 @@
-"""Messages that spread settings and the leaving of endpoints.
+"""Messages that distribute settings and announce leaving endpoints.
 
-A VM that lacks a version asks a peer for the branch's committed content.
+A VM that lacks a version requests the branch's committed content from a peer.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class BranchWanted(Message, frozen=True):
-    """Ask a peer for a branch that it has in a higher version."""
+    """Request a settings branch from a peer that has a higher version."""
 
     branch: str
     above_version: int
@@ -32,7 +32,7 @@
 
 
 class EndpointLeaving(Message, frozen=True):
-    """An endpoint is leaving; no grant from the moment this is known."""
+    """Announce a leaving endpoint; receivers stop granting it requests."""
 
     endpoint_id: str
     source: str
@@ -46,13 +46,13 @@
 
 
 class RecordChange(msgspec.Struct, frozen=True, array_like=True):
-    """A record of a watched source that has changed.
+    """A changed record of a watched source.
 
     Attributes:
-        key: Its key.
-        value: Its bytes as the source has them, empty where it was deleted.
-        deleted: Whether it is no more.
-        version: Version of the source at its change, 0 where that is not told.
+        key: Key of the record.
+        value: Bytes of the record in the source, empty if deleted.
+        deleted: Whether it was deleted.
+        version: Version of the source at the change, 0 if unknown.
     """
 
     key: str
@@ -62,15 +62,15 @@
 
 
 class WatchedChanges(Message, frozen=True):
-    """What one VM read of a watched source, for the others of its data centre.
+    """Changes of a watched source, read by one VM for its data centre.
 
     Attributes:
         source: Name of the source.
-        after: Version behind which the changes begin.
-        version: Version up to which they reach.
-        changes: Records that have changed in substance.
-        state_hash: Hash of all that the sender knows of the source then; who comes to
-            another one has missed something.
+        after: Version after which the changes begin.
+        version: Last version that the changes cover.
+        changes: Records whose content has changed.
+        state_hash: Hash of the source's records as known to the sender at ``version``;
+            a receiver that computes another hash has missed a change.
     """
 
     source: str
--- a/src/pomelolane/messages/membership.py
+++ b/src/pomelolane/messages/membership.py
@@ -1,6 +1,6 @@
-"""Messages by which VMs learn of each other, near and far.
+"""Messages for group membership.
 
-Heartbeats go between the VMs of a data centre, digests between data centres.
+Heartbeats are sent between the VMs of a data centre, digests between data centres.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 class Heartbeat(Message, frozen=True):
-    """A member's sign of life inside its data centre.
+    """A VM's full heartbeat within its data centre.
 
     Attributes:
-        vm_id: Sender.
-        incarnation: Number of this start of the VM, grows with each start.
-        data_centre: The sender's.
-        sequence: Grows by one each time.
-        ready: Whether it takes callers.
-        draining: Whether it is stopping.
-        versions: Settings version by branch.
-        leaving: Endpoints that the sender itself found to be leaving.
+        vm_id: Id of the sender.
+        incarnation: Number of this start of the VM, higher after each restart.
+        data_centre: Data centre of the sender.
+        sequence: Incremented with each heartbeat interval.
+        ready: Whether it accepts callers' requests.
+        draining: Whether it is shutting down.
+        versions: Settings version in force by branch.
+        leaving: Endpoints that the sender itself marks as leaving.
         address: ``ip:port`` at which others reach the sender.
         stopped: Whether this is the sender's last message.
-        remote: Hash of the digest of each other data centre that the sender
-            hears of directly; empty unless it is a delegate.
-        carries_per_s: Requests a second that it can schedule, 0 for unknown.
+        remote: Hash of each other data centre's digest that the sender received
+            directly; empty unless it is a delegate or was one recently.
+        carries_per_s: Requests per second that it can schedule, 0 if unknown.
     """
 
     vm_id: str
@@ -44,7 +44,7 @@
 
 
 class Pulse(Message, frozen=True):
-    """A heartbeat whose content is that of the last full one.
+    """A heartbeat with unchanged content, which it replaces by a hash.
 
     Attributes:
         state_hash: Hash of that content.
@@ -54,11 +54,11 @@
 
 
 class HeartbeatWanted(Message, frozen=True):
-    """Answer to a pulse whose content the receiver does not have."""
+    """Request for the full heartbeat, sent on a pulse with an unknown hash."""
 
 
 class MemberState(msgspec.Struct, frozen=True, array_like=True):
-    """One VM in a digest."""
+    """State of one VM in a digest."""
 
     vm_id: str
     incarnation: int
@@ -73,12 +73,12 @@
 
     Attributes:
         data_centre: The summarised data centre.
-        sequence: Grows by one each time.
-        members: The VMs alive in it.
-        versions: Highest settings version by branch.
-        leaving: Endpoints known to be leaving.
-        capacity: Free slots by service.
-        reply: Whether it answers another digest, and so wants no answer.
+        sequence: Not used, always 0.
+        members: Live VMs of the data centre.
+        versions: Settings version in force on the sender, by branch.
+        leaving: Endpoints that VMs of the data centre mark as leaving.
+        capacity: Not used, always empty.
+        reply: Whether it replies to another message, and so needs no reply.
     """
 
     data_centre: str
@@ -91,7 +91,7 @@
 
 
 class DigestPulse(Message, frozen=True):
-    """A digest whose content is that of the last full one.
+    """A digest with unchanged content, which it replaces by a hash.
 
     Attributes:
         data_centre: The summarised data centre.
@@ -103,7 +103,7 @@
 
 
 class DigestWanted(Message, frozen=True):
-    """Ask a VM for the digest that it has of a data centre."""
+    """Request a VM's digest of a data centre."""
 
     data_centre: str
 
--- a/src/pomelolane/messages/quarantine.py
+++ b/src/pomelolane/messages/quarantine.py
@@ -1,4 +1,4 @@
-"""Message by which VMs tell each other of endpoints that crashed under requests."""
+"""Message by which VMs report endpoint crashes to each other."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
-    """One endpoint has crashed while one request may have run there.
+    """A crash of an endpoint on which a given request may have been running.
 
     Attributes:
-        fingerprint: What the request asks for.
-        endpoint_start: Names the endpoint's start.
-        age_ms: How long ago it was found out.
+        fingerprint: Hash that identifies the request's content.
+        endpoint_start: Identifies the start of the endpoint that crashed.
+        age_ms: Time since the crash was detected.
     """
 
     fingerprint: str
@@ -22,11 +22,11 @@
 
 
 class CrashesReported(Message, frozen=True):
-    """What a VM has found out on crashes of endpoints.
+    """Crashes that a VM has detected, and reports that it withdraws.
 
     Attributes:
-        reports: Ends.
-        cleared: Reports that count no more: the request was answered elsewhere.
+        reports: Detected crashes.
+        cleared: Reports that no longer count: the request was answered elsewhere.
     """
 
     reports: tuple[ReportedCrash, ...] = ()
--- a/src/pomelolane/messages/wire.py
+++ b/src/pomelolane/messages/wire.py
@@ -1,6 +1,6 @@
-"""Messages as bytes: MessagePack by msgspec.
+"""Encoding and decoding of messages as MessagePack, by msgspec.
 
-Bytes that are no known message are refused with a type.
+Bytes that are not a known message raise a :class:`TransportError`.
 """
 
 from __future__ import annotations
@@ -89,10 +89,10 @@
 
 
 def decode_message(data: bytes) -> AnyMessage:
-    """Decode and check a message.
+    """Decode and validate a message.
 
     Raises:
-        TransportError: The bytes are no known message.
+        TransportError: The bytes are not a known message.
     """
     try:
         return _decoder.decode(data)
