--- a/src/pomelolane/messages/membership.py
+++ b/src/pomelolane/messages/membership.py
@@ -54,7 +54,7 @@
 
 
 class HeartbeatWanted(Message, frozen=True):
-    """Request for the full heartbeat, sent on a pulse with an unknown hash."""
+    """Request for the full heartbeat, in reply to a pulse with an unknown hash."""
 
 
 class MemberState(msgspec.Struct, frozen=True, array_like=True):
@@ -75,7 +75,7 @@
         data_centre: The summarised data centre.
         sequence: Not used, always 0.
         members: Live VMs of the data centre.
-        versions: Settings version in force on the sender, by branch.
+        versions: Settings version by branch, the highest where digests were merged.
         leaving: Endpoints that VMs of the data centre mark as leaving.
         capacity: Not used, always empty.
         reply: Whether it replies to another message, and so needs no reply.
--- a/src/pomelolane/messages/scheduling.py
+++ b/src/pomelolane/messages/scheduling.py
@@ -1,6 +1,6 @@
 """Messages between gateways and the schedulers of services.
 
-A scheduler learns from them of waiting and running requests and grants slots.
+Gateways report waiting and running requests; schedulers grant endpoint slots.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 
 
 class Handle(msgspec.Struct, frozen=True, array_like=True):
-    """What a scheduler needs to know of a waiting request, never its body.
+    """Description of a waiting request for the scheduler, without its body.
 
     Attributes:
-        request_id: Unique for one attempt's life, made by the gateway.
-        service: Service asked for.
+        request_id: Id made by the gateway, unique during one attempt.
+        service: Requested service.
         work: Kind of work.
-        tier_rank: 0 is the highest.
-        organisation: Who asks.
-        team: The organisation's team.
+        tier_rank: Rank of the priority tier, 0 for the highest.
+        organisation: Organisation of the caller.
+        team: Team of the caller within the organisation.
         budget_ms: Time left until the deadline when the handle was sent.
-        prefill_tokens: Prompt length.
-        decode_tokens: Expected answer length.
-        prefix_hashes: Chained hashes of the prompt's whole blocks, first
-            block first (see ``pomelolane.gateway.prefix``).
+        prefill_tokens: Length of the prompt.
+        decode_tokens: Expected length of the answer.
+        prefix_hashes: Chained hashes of the prompt's complete blocks, in order
+            (see ``pomelolane.gateway.prefix``).
         data_centre: The gateway's data centre.
-        excluded: Endpoints that already failed this request.
-        attempt: 0 for the first dispatch.
-        admitted: Whether a scheduler has counted it against limits already; it
-            is registered again then and not counted twice.
+        excluded: Endpoints on which this request has already failed.
+        attempt: Number of the dispatch, 0 for the first.
+        admitted: Whether a scheduler has already counted it against the limits; it is
+            then re-registered without being counted twice.
         objective_ms: Time from the caller's first byte within which the answer
-            should begin, 0 where there is no such aim.
-        late_window_ms: How long the deadline lies after the moment at which
-            the answer should begin.
-        gap_ms: Longest pause between two pieces of the answer, 0 for any.
+            should begin, 0 for no objective.
+        late_window_ms: Time from the objective to the deadline.
+        gap_ms: Longest allowed pause between two chunks of the answer, 0 for no
+            limit.
         charge_tokens: Tokens counted against the organisation's limit.
-        patience_ms: Time left until the caller leaves if its answer has not begun,
-            0 for not before the deadline.
-        suspect: Whether several endpoints have crashed under it: it runs beside no
-            other such request, so that the next end tells which of them did it.
+        patience_ms: Time left until the caller disconnects if the answer has not
+            begun, 0 if it stays until the deadline.
+        suspect: Whether several endpoints have crashed while running it. It then runs
+            beside no other suspect, so that the next crash identifies the cause.
     """
 
     request_id: str
@@ -65,7 +65,7 @@
     suspect: bool = False
 
     def with_budget(self, budget_ms: int, *, admitted: bool) -> Handle:
-        """Return the handle as of a later moment, by the budget that is left."""
+        """Return the handle with the remaining budget and patience."""
         patience_ms = 0
         if self.patience_ms:
             patience_ms = max(1, self.patience_ms - (self.budget_ms - budget_ms))
@@ -75,13 +75,13 @@
 
 
 class RunningHandle(msgspec.Struct, frozen=True, array_like=True):
-    """A request already dispatched, registered again with a new scheduler.
+    """A dispatched request that is re-registered with a new scheduler.
 
     Attributes:
         handle: The handle as first sent.
-        endpoint_id: Where it runs.
-        decoded_tokens: Answer tokens seen so far.
-        started: Whether the first token was seen.
+        endpoint_id: Endpoint on which it runs.
+        decoded_tokens: Answer tokens received so far.
+        started: Whether the first token was received.
     """
 
     handle: Handle
@@ -95,9 +95,9 @@
 
     Attributes:
         epoch: The gateway's number for its current choice of scheduler;
-            answers repeat it, so that late ones are recognised.
+            replies repeat it, so that stale ones are recognised.
         waiting: New or re-registered waiting handles.
-        running: Running handles, after a change of scheduler.
+        running: Handles of running requests, after a change of scheduler.
     """
 
     epoch: int
@@ -106,11 +106,11 @@
 
 
 class SubmitAck(Message, frozen=True):
-    """Scheduler to gateway: these are queued with me.
+    """Scheduler to gateway: these requests are queued.
 
     Attributes:
         epoch: Copied from the submit.
-        request_ids: Handles taken.
+        request_ids: Ids of the accepted handles.
     """
 
     epoch: int
@@ -118,13 +118,13 @@
 
 
 class NotScheduler(Message, frozen=True):
-    """Answer of a VM that does not schedule the service in its own view.
+    """Reply of a VM that is not the service's scheduler in its own view.
 
     Attributes:
         epoch: Copied from the submit.
         service: The service.
-        scheduler: VM that the answering one follows itself, empty if it does
-            not know the service (yet).
+        scheduler: Scheduler in the replying VM's view, empty if the service is
+            unknown to it.
     """
 
     epoch: int
@@ -138,7 +138,7 @@
     Attributes:
         epoch: Copied from the submit.
         request_id: The request.
-        endpoint_id: Where to send it.
+        endpoint_id: Endpoint to dispatch it to.
         expected_ttft_ms: Predicted time until the first token.
     """
 
@@ -149,13 +149,13 @@
 
 
 class Refused(Message, frozen=True):
-    """Scheduler to gateway: the request is given up on, nothing was sent.
+    """Scheduler to gateway: the request is refused without being dispatched.
 
     Attributes:
         epoch: Copied from the submit.
         request_id: The request.
-        reason: Why.
-        retry_after_ms: When to come back, from the measured drain rate.
+        reason: Reason for the refusal.
+        retry_after_ms: Time to wait before a retry, from the measured drain rate.
     """
 
     epoch: int
@@ -165,20 +165,21 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway saw of one dispatched request.
+    """Progress of one dispatched request, as observed by its gateway.
 
     Attributes:
         request_id: The request.
-        endpoint_id: Where it runs.
-        ttft_ms: Time from dispatch to first token, or -1 if not new.
+        endpoint_id: Endpoint on which it runs.
+        ttft_ms: Time from dispatch to first token, -1 if not newly measured.
         tokens: Answer tokens since the last event.
         elapsed_ms: Time since the last event (or first token).
         finished: Whether its slot is free again.
         outcome: Empty on success, else an :class:`Outcome` value.
-        refused: Whether the endpoint refused it before taking it.
-        cached_tokens: Prompt tokens that the engine reported as cached, or -1.
-        limit_per_s: Requests a second that the endpoint takes from all VMs together,
-            infinite where it names no limit, None if not new.
+        refused: Whether the endpoint refused it before accepting it.
+        cached_tokens: Prompt tokens that the engine reported as cached, -1 if none
+            were reported.
+        limit_per_s: Requests per second that the endpoint accepts from all VMs
+            together, infinite if it reports no limit, None if not reported anew.
     """
 
     request_id: str
@@ -208,15 +209,15 @@
 
 
 class Sync(Message, frozen=True):
-    """Gateway to scheduler: what it holds of a service; also the sign of life.
+    """Gateway to scheduler: its requests of a service; also a keepalive.
 
-    Lost submits, grants and releases are found by it.
+    It reveals lost submits, grants and releases.
 
     Attributes:
         epoch: The gateway's number for its current choice of scheduler.
         service: The service.
-        whole: Whether the lists are there; without them it is a sign of life.
-        waiting: Requests that still wait for a slot.
+        whole: Whether the lists are filled in; without them it is only a keepalive.
+        waiting: Requests that wait for a slot.
         running: Dispatched requests.
     """
 
@@ -228,12 +229,12 @@
 
 
 class SyncAck(Message, frozen=True):
-    """Scheduler to gateway: the answer to a sync.
+    """Scheduler to gateway: reply to a sync.
 
     Attributes:
         epoch: Copied from the sync.
         service: The service.
-        missing: Requests that the scheduler does not know and needs again.
+        missing: Requests unknown to the scheduler, to be submitted again.
         held: Number of the gateway's requests that the scheduler knows.
     """
 
@@ -244,12 +245,12 @@
 
 
 class NamedLimit(msgspec.Struct, frozen=True, array_like=True):
-    """The rate that an endpoint has named in an answer.
+    """A rate limit that an endpoint has reported in a response.
 
     Attributes:
         endpoint_id: The endpoint.
-        limit_per_s: Requests a second that it takes from all VMs together.
-        age_ms: How long ago.
+        limit_per_s: Requests per second that it accepts from all VMs together.
+        age_ms: Time since the report.
     """
 
     endpoint_id: str
@@ -258,15 +259,15 @@
 
 
 class LimitsHeard(Message, frozen=True):
-    """Gateway to its new scheduler: the rates that endpoints have named to it.
+    """Gateway to its new scheduler: rate limits reported by endpoints.
 
-    It comes before the handles, so that no grant goes past a limit which only the
-    scheduler before has known.
+    It is sent before the handles, so that no grant exceeds a limit that only the former
+    scheduler knew.
 
     Attributes:
         epoch: The gateway's number for its current choice of scheduler.
         service: The service.
-        limits: The newest of each endpoint.
+        limits: Latest limit of each endpoint.
     """
 
     epoch: int
@@ -275,10 +276,10 @@
 
 
 class Unfollow(Message, frozen=True):
-    """Gateway to its earlier scheduler: it follows another one now.
+    """Gateway to its former scheduler: it uses another one now.
 
     Attributes:
-        epoch: The number that the earlier choice had.
+        epoch: The gateway's number for the former choice of scheduler.
         service: The service.
     """
 
@@ -287,13 +288,13 @@
 
 
 class ToldUse(msgspec.Struct, frozen=True, array_like=True):
-    """What an organisation used of its limit.
+    """Usage counted against an organisation's limit.
 
     Attributes:
-        organisation: Who.
-        age_ms: How long ago.
-        tokens: How much.
-        bound: What a span could hold when it passed, 0 where that is not known.
+        organisation: The organisation.
+        age_ms: Time since the usage.
+        tokens: Tokens used.
+        bound: Capacity of the limit's window at that time, 0 if unknown.
     """
 
     organisation: str
@@ -303,18 +304,18 @@
 
 
 class UsesTold(Message, frozen=True):
-    """Scheduler to others: what it let pass of organisations' limits.
+    """Scheduler to others: usage that it admitted under organisations' limits.
 
     Attributes:
         service: The service.
-        uses: All uses that still count, or those since the last word.
-        adds: Whether they come on top of what was told before.
-        account: Name of the account, by the sender's start: what other accounts of
-            the same VM hold stays.
-        is_passed_on: Whether the sender has only heard it.
-        leaves: Whether the sender leaves the role.
-        guess_part: Part of each limit that the sender counts as used by a guess, beside
-            what it has heard or read; None from a gateway that is alone.
+        uses: All usage that still counts, or that since the last message.
+        adds: Whether it adds to earlier messages instead of replacing them.
+        account: Account of the usage, named by the sender's start. Other accounts of
+            the same VM remain unchanged.
+        is_passed_on: Whether the sender relays usage that others reported to it.
+        leaves: Whether the sender gives up the scheduler role.
+        guess_part: Fraction of each limit that the sender estimates as used, in
+            addition to reported or stored usage; None from a gateway that is alone.
     """
 
     service: str
