--- a/src/pomelolane/membership/__init__.py
+++ b/src/pomelolane/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Who is alive and how VMs talk: transport, heartbeats, digests, the view.
+"""Group membership and messaging between VMs.
 
-Everything here is soft state; nothing is voted on, logged or kept.
+Covers the transport, heartbeats, digests and the view. All of it is soft state:
+there is no consensus, no replicated log and no persistence.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from pomelolane.membership.addresses import AddressBook
 from pomelolane.membership.keys import ClusterKeys, cluster_keys_from_settings
 from pomelolane.membership.member import Member, make_member
-from pomelolane.membership.readers import reads_for_others
+from pomelolane.membership.readers import is_store_reader
 from pomelolane.membership.recorded import RecordedMarks
 from pomelolane.membership.rendezvous import choose, choose_several, weight
 from pomelolane.membership.transport import ZmqTransport, make_transport
@@ -22,8 +23,8 @@
     "choose",
     "choose_several",
     "cluster_keys_from_settings",
+    "is_store_reader",
     "make_member",
     "make_transport",
-    "reads_for_others",
     "weight",
 ]
--- a/src/pomelolane/membership/contacts.py
+++ b/src/pomelolane/membership/contacts.py
@@ -1,7 +1,7 @@
-"""VMs that might be alive: whom to try where nobody is heard.
+"""VMs that may be alive, and when to probe those that are silent.
 
-They come from the settings, from the platform's lagging list and from what
-peers say; none of these is an authority on who lives.
+They come from the settings, the platform's list, which lags behind, and digests and
+heartbeats of peers. None of these proves that a VM is alive.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
     from pomelolane.addresses import Seed
     from pomelolane.membership.addresses import AddressBook
 
-PROBE_MS = 1000.0
-PROBE_MAX_MS = 30_000.0
-FORGET_MS = 600_000.0
+PROBE_INTERVAL_MS = 1000.0
+PROBE_INTERVAL_MAX_MS = 30_000.0
+CONTACT_TIMEOUT_MS = 600_000.0
 
 
 @dataclass(slots=True)
@@ -27,19 +27,19 @@
     certain: bool
     since_ms: float = 0.0
     next_probe_ms: float = 0.0
-    interval_ms: float = PROBE_MS
+    interval_ms: float = PROBE_INTERVAL_MS
 
 
 class Contacts:
-    """VMs to try, each at most once a second; pure, time is passed in.
+    """VMs to probe, each at most once a second; the caller passes in the time.
 
-    A VM that never answered is tried ever less often, since the platform's
-    list also holds machines that are no VMs of this system.
+    A listed machine that has never answered is probed with exponential backoff, since
+    the platform's list also contains machines that do not belong to this system.
 
     Args:
-        own_id: This VM, never a contact.
-        seeds: VMs known from the settings, never forgotten.
-        addresses: Where their addresses are kept.
+        own_id: Id of this VM, which is never a contact.
+        seeds: VMs given in the settings, which never expire.
+        addresses: Address book that is updated along with the contacts.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         return len(self._contacts)
 
     def is_vm(self, vm_id: str) -> bool:
-        """Tell whether an id is for sure that of a VM."""
+        """Return whether an id is certainly that of a VM of this system."""
         contact = self._contacts.get(vm_id)
         return contact is not None and contact.certain
 
@@ -70,14 +70,14 @@
         *,
         certain: bool = True,
     ) -> bool:
-        """Remember a VM that somebody speaks of; tell whether it is new here.
+        """Add or refresh a contact; return whether it is new.
 
         Args:
-            vm_id: The VM.
-            data_centre: Where it stands.
+            vm_id: Id of the VM.
+            data_centre: Data centre of the VM.
             address: Its ``ip:port``.
             now_ms: Current time.
-            certain: Whether it is a VM of this system for sure.
+            certain: Whether it certainly belongs to this system.
         """
         if vm_id == self._own_id or not address:
             return False
@@ -92,21 +92,21 @@
         return is_new
 
     def heard(self, vm_id: str, now_ms: float) -> None:
-        """Take note of a sign of life."""
+        """Record that a message of a VM arrived and end its probe backoff."""
         contact = self._contacts.get(vm_id)
         if contact is not None:
             contact.certain = True
             contact.since_ms = now_ms
-            contact.interval_ms = PROBE_MS
+            contact.interval_ms = PROBE_INTERVAL_MS
 
     def data_centres(self) -> set[str]:
-        """Return all data centres that are heard of."""
+        """Return the data centres of all contacts."""
         return {contact.data_centre for contact in self._contacts.values()}
 
     def due(
         self, data_centre: str, alive: Iterable[str], count: int, now_ms: float
     ) -> list[str]:
-        """Return VMs to try now, least recently tried first."""
+        """Return up to ``count`` VMs to probe now, the longest overdue first."""
         silent = [
             (contact.next_probe_ms, vm_id)
             for vm_id, contact in self._contacts.items()
@@ -119,11 +119,11 @@
         return names[:count]
 
     def expire(self, now_ms: float) -> list[str]:
-        """Forget VMs of which nobody has spoken for long; return them."""
+        """Drop and return contacts not refreshed in :data:`CONTACT_TIMEOUT_MS`."""
         old = [
             vm_id
             for vm_id, contact in self._contacts.items()
-            if not contact.seed and now_ms - contact.since_ms > FORGET_MS
+            if not contact.seed and now_ms - contact.since_ms > CONTACT_TIMEOUT_MS
         ]
         for vm_id in old:
             del self._contacts[vm_id]
@@ -133,4 +133,4 @@
     def _note_probe(self, contact: _Contact, now_ms: float) -> None:
         contact.next_probe_ms = now_ms + contact.interval_ms
         if not contact.certain:
-            contact.interval_ms = min(contact.interval_ms * 2, PROBE_MAX_MS)
+            contact.interval_ms = min(contact.interval_ms * 2, PROBE_INTERVAL_MAX_MS)
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -1,8 +1,8 @@
-"""What data centres tell each other, through two delegates each.
+"""Exchange of membership between data centres, through two delegates each.
 
-A delegate sends a digest of its data centre to the delegates of the others;
-its own heartbeat then names the digests that it has, and the VMs around it ask
-for those that they lack.
+A delegate sends a digest of its data centre to the delegates of the others. Its
+heartbeat carries the hashes of the digests that it received, and the other VMs of its
+data centre request those that they lack.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from pomelolane.events import DELEGATE_ROLE
 from pomelolane.logs import log_event
-from pomelolane.membership.digests import TIMEOUT_MS, DigestTable, newer_state
+from pomelolane.membership.digests import DIGEST_TIMEOUT_MS, DigestTable, newer_state
 from pomelolane.membership.hashing import hash_of_digest
 from pomelolane.membership.heartbeat import INTERVAL_MS
 from pomelolane.membership.remotes import RemoteMembers
@@ -25,33 +25,33 @@
     import msgspec
 
     from pomelolane.membership.context import MemberContext
-    from pomelolane.membership.digests import Merged
+    from pomelolane.membership.digests import MergedDigest
     from pomelolane.messages import Heartbeat
     from pomelolane.ports import Peer
 
 DELEGATES = 2
 PROBES = 3
-"""VMs of a silent data centre that are tried at one beat."""
+"""VMs of a silent data centre that are contacted at one heartbeat."""
 
-INHERITED = ""
-"""Source of what a new delegate knew before it heard anything directly."""
+INHERITED_SOURCE = ""
+"""Source of the digests that a new delegate had before any arrived directly."""
 
 
 def choose_delegates(
     data_centre: str, draining_by_vm: Mapping[str, bool]
 ) -> tuple[str, ...]:
-    """Return the VMs that speak for a data centre, stopping ones last."""
+    """Choose a data centre's delegates, draining VMs only if all are draining."""
     staying = [vm_id for vm_id, draining in draining_by_vm.items() if not draining]
     return choose_several(data_centre, staying or draining_by_vm, DELEGATES)
 
 
 class DigestExchange:
-    """Sends and takes in digests.
+    """Sends digests of this data centre and stores those of the others.
 
     Args:
-        context: The member's parts.
-        on_change: Called when something became known of a data centre.
-        on_digest: Called with each digest and the VM that it came from.
+        context: State and components shared within the package.
+        on_change: Called after a digest was stored.
+        on_digest: Called with the sender and each digest of another data centre.
     """
 
     def __init__(
@@ -70,16 +70,16 @@
         self._replied_ms: dict[str, float] = {}
         self._last_hash = -1
         self._beats = 0
-        self._lists_until_ms = 0.0
+        self._advertise_until_ms = 0.0
         self.is_delegate = False
-        context.transport.subscribe(Digest, self._take_digest)
-        context.transport.subscribe(DigestPulse, self._take_pulse)
-        context.transport.subscribe(DigestWanted, self._take_wanted)
+        context.transport.subscribe(Digest, self._handle_digest)
+        context.transport.subscribe(DigestPulse, self._handle_pulse)
+        context.transport.subscribe(DigestWanted, self._handle_wanted)
 
-    # --- what is known ------------------------------------------------------
+    # --- known state --------------------------------------------------------
 
     def data_centres(self) -> set[str]:
-        """Return the other data centres that are heard of."""
+        """Return the other data centres of which there is a digest."""
         return {*self._direct.data_centres(), *self._relayed.data_centres()}
 
     def remote_peers(self) -> dict[str, Peer]:
@@ -88,37 +88,37 @@
         for data_centre in self.data_centres():
             for state in self._states(data_centre).values():
                 peers[state.vm_id] = peer_from_state(state, data_centre)
-        listed_ms = self._direct.listed_ms()
-        for vm_id, at_ms in self._relayed.listed_ms().items():
+        listed_ms = self._direct.last_listed_ms()
+        for vm_id, at_ms in self._relayed.last_listed_ms().items():
             listed_ms[vm_id] = max(at_ms, listed_ms.get(vm_id, at_ms))
-        gone = self._direct.take_gone() | self._relayed.take_gone()
+        gone = self._direct.pop_unlisted() | self._relayed.pop_unlisted()
         now_ms = self._context.clock.now_ms()
         data_centres = self.data_centres()
         return self._members.update(peers, listed_ms, data_centres, gone, now_ms)
 
-    def listing(self) -> dict[str, int]:
-        """Return the hashes of the digests heard directly, as a delegate.
+    def remote_hashes(self) -> dict[str, int]:
+        """Return the hashes of directly received digests, empty if no delegate.
 
-        One that gave up the role goes on for a while, until its successors
-        have heard the other data centres themselves.
+        A former delegate keeps returning them for :data:`DIGEST_TIMEOUT_MS`, until its
+        successors have received digests of their own.
         """
         now_ms = self._context.clock.now_ms()
-        if not self.is_delegate and now_ms >= self._lists_until_ms:
+        if not self.is_delegate and now_ms >= self._advertise_until_ms:
             return {}
         tables = self._direct
         return {each: tables.merged(each).digest_hash for each in tables.data_centres()}
 
     def leaving(self) -> set[str]:
-        """Return the endpoints that other data centres say are leaving."""
+        """Return the endpoints that other data centres mark as leaving."""
         return {
             endpoint_id
             for data_centre in self.data_centres()
-            for merged in self._known(data_centre)
+            for merged in self._merged_digests(data_centre)
             for endpoint_id in merged.digest.leaving
         }
 
-    def delegates_elsewhere(self) -> list[str]:
-        """Return the delegates of the other data centres that are known."""
+    def remote_delegates(self) -> list[str]:
+        """Return the known delegates of the other data centres."""
         return [
             vm_id
             for data_centre in sorted(self.data_centres())
@@ -126,14 +126,14 @@
         ]
 
     def all_heard_after(self, moment_ms: float) -> bool:
-        """Tell whether every known data centre was heard of after a moment."""
+        """Return whether every data centre's digest was refreshed after a time."""
         tables = (self._direct, self._relayed)
         return all(table.all_heard_after(moment_ms) for table in tables)
 
-    # --- time and role ------------------------------------------------------
+    # --- timers and role ----------------------------------------------------
 
     def set_role(self, is_delegate: bool, now_ms: float) -> bool:
-        """Take or leave the delegate's role; True on a change."""
+        """Set whether this VM is a delegate; return whether that changed."""
         if is_delegate == self.is_delegate:
             return False
         self.is_delegate = is_delegate
@@ -141,37 +141,37 @@
             DELEGATE_ROLE, data_centre=self._context.data_centre, held=is_delegate
         )
         if is_delegate:
-            self._inherit(now_ms)
+            self._copy_relayed_digests(now_ms)
         else:
-            self._lists_until_ms = now_ms + TIMEOUT_MS
+            self._advertise_until_ms = now_ms + DIGEST_TIMEOUT_MS
         self._sent.clear()
         self._last_hash = -1
         return True
 
     def expire(self, now_ms: float) -> bool:
-        """Drop what nobody speaks of any more; True where there was any."""
+        """Drop expired digests; return whether the remote VMs may have changed."""
         direct = self._direct.expire(now_ms)
         relayed = self._relayed.expire(now_ms)
         return direct or relayed or self._members.has_overdue(now_ms)
 
-    def excuse(self, now_ms: float) -> None:
-        """Count everything as heard now, after this VM itself has paused."""
-        self._direct.excuse(now_ms)
-        self._relayed.excuse(now_ms)
+    def restart_timeouts(self, now_ms: float) -> None:
+        """Restart all silence timeouts, after a pause of this process."""
+        self._direct.restart_timeouts(now_ms)
+        self._relayed.restart_timeouts(now_ms)
 
     def beat(self, now_ms: float) -> None:
-        """As a delegate, send a sign of life to the other data centres."""
+        """As a delegate, send the periodic digest or pulse."""
         if not self.is_delegate:
             return
         self._beats += 1
         digest = self.own()
         digest_hash = hash_of_digest(digest)
         self._last_hash = digest_hash
-        for vm_id in self._targets(now_ms):
+        for vm_id in self._recipients(now_ms):
             self._send_digest(vm_id, digest, digest_hash)
 
     def publish(self) -> None:
-        """As a delegate, send the own digest at once if it has changed."""
+        """As a delegate, send this data centre's digest at once if it changed."""
         if not self.is_delegate:
             return
         digest = self.own()
@@ -179,11 +179,11 @@
         if digest_hash == self._last_hash:
             return
         self._last_hash = digest_hash
-        for vm_id in self.delegates_elsewhere():
+        for vm_id in self.remote_delegates():
             self._send_digest(vm_id, digest, digest_hash)
 
     def own(self, *, reply: bool = False) -> Digest:
-        """Return the digest of this VM's data centre as it stands."""
+        """Return the current digest of this data centre."""
         context = self._context
         heartbeats = list(context.table.heartbeats())
         members = [_state_of(heartbeat) for heartbeat in heartbeats]
@@ -200,8 +200,8 @@
             reply=reply,
         )
 
-    def take_listing(self, heartbeat: Heartbeat) -> None:
-        """Take note of the digests that a VM of the own data centre has."""
+    def record_remote_hashes(self, heartbeat: Heartbeat) -> None:
+        """Update the relayed digests from the hashes in a heartbeat."""
         vm_id = heartbeat.vm_id
         heard_ms = self._context.heard_ms()
         for data_centre in self._relayed.data_centres():
@@ -215,7 +215,7 @@
 
     # --- messages -----------------------------------------------------------
 
-    def _take_digest(self, sender: str, digest: Digest) -> None:
+    def _handle_digest(self, sender: str, digest: Digest) -> None:
         context = self._context
         now_ms = context.clock.now_ms()
         for state in digest.members:
@@ -231,9 +231,9 @@
         self._on_digest(sender, digest)
         self._on_change()
         if not local and not digest.reply:
-            self._correct(sender, now_ms)
+            self._send_correction(sender, now_ms)
 
-    def _take_pulse(self, sender: str, pulse: DigestPulse) -> None:
+    def _handle_pulse(self, sender: str, pulse: DigestPulse) -> None:
         context = self._context
         if pulse.data_centre == context.data_centre:
             return
@@ -242,9 +242,9 @@
         )
         if not known:
             context.transport.send(sender, DigestWanted(pulse.data_centre))
-        self._correct(sender, context.clock.now_ms())
+        self._send_correction(sender, context.clock.now_ms())
 
-    def _take_wanted(self, sender: str, wanted: DigestWanted) -> None:
+    def _handle_wanted(self, sender: str, wanted: DigestWanted) -> None:
         context = self._context
         if wanted.data_centre == context.data_centre:
             context.transport.send(sender, self.own())
@@ -253,9 +253,9 @@
         if merged is not None and sender in context.table:
             context.transport.send(sender, merged.digest)
 
-    def _correct(self, sender: str, now_ms: float) -> None:
-        # Whoever takes this VM for a delegate learns who is one, but not at
-        # every message, and an answer is never answered.
+    def _send_correction(self, sender: str, now_ms: float) -> None:
+        # The sender wrongly takes this VM for a delegate, so it gets the current
+        # members. Corrections are rate-limited, and a reply is never replied to.
         if self.is_delegate:
             return
         if now_ms - self._replied_ms.get(sender, -INTERVAL_MS) < INTERVAL_MS:
@@ -272,9 +272,9 @@
         if self._context.transport.send(vm_id, message):
             self._sent[vm_id] = digest_hash
 
-    def _targets(self, now_ms: float) -> list[str]:
-        # The delegates of a data centre take turns: each hears two others of
-        # every data centre once a second, which halves what a delegate sends.
+    def _recipients(self, now_ms: float) -> list[str]:
+        # Sends to the delegates of a data centre in turn: each hears from two
+        # delegates of every data centre once a second, at half the traffic.
         targets = []
         for data_centre in sorted(self.data_centres()):
             delegates = self._delegates_of(data_centre)
@@ -294,24 +294,25 @@
 
     def _states(self, data_centre: str) -> dict[str, MemberState]:
         states: dict[str, MemberState] = {}
-        for merged in self._known(data_centre):
+        for merged in self._merged_digests(data_centre):
             for state in merged.digest.members:
                 states[state.vm_id] = newer_state(states.get(state.vm_id), state)
         return states
 
-    def _known(self, data_centre: str) -> list[Merged]:
+    def _merged_digests(self, data_centre: str) -> list[MergedDigest]:
         relayed = self._relayed.merged(data_centre)
         direct = self._direct.merged(data_centre)
-        # Others write to a plain member by mistake only, and not regularly.
+        # Digests reach a VM that is no delegate directly only by mistake, and at no
+        # regular interval, so relayed ones take precedence.
         if relayed is not None and not self.is_delegate:
             direct = None
         return [each for each in (relayed, direct) if each is not None]
 
-    def _inherit(self, now_ms: float) -> None:
+    def _copy_relayed_digests(self, now_ms: float) -> None:
         for data_centre in self._relayed.data_centres():
             if data_centre not in self._direct.data_centres():
                 merged = self._relayed.merged(data_centre)
-                self._direct.put(INHERITED, merged.digest, now_ms)
+                self._direct.put(INHERITED_SOURCE, merged.digest, now_ms)
 
     def _own_state(self) -> MemberState:
         context = self._context
--- a/src/pomelolane/membership/local.py
+++ b/src/pomelolane/membership/local.py
@@ -1,7 +1,7 @@
-"""Heartbeats to and from the VMs of the own data centre, each to each.
+"""Heartbeats between all VMs of one data centre.
 
-A full heartbeat goes out at every change and to every newcomer, a pulse that
-names its hash in between.
+A full heartbeat is sent after every change and to every new VM; otherwise a pulse
+carries only the hash of the last full one.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     from pomelolane.messages import Message
 
 PROBES = 64
-"""VMs of the own data centre that are tried at one beat."""
+"""Silent VMs of this data centre that are contacted at one heartbeat."""
 
 
 class LocalHeartbeats:
-    """Sends this VM's heartbeats and takes in the others'.
+    """Sends this VM's heartbeats and records those received.
 
     Args:
-        context: The member's parts.
+        context: State and components shared within the package.
         remote: Returns the hash of each other data centre's digest.
-        on_new: Called with each VM that is new or was started again.
-        on_heard: Called with the sender's last heartbeat at each sign of life
-            and whether it has just come in full.
+        on_new: Called with each VM that is new or was restarted.
+        on_heartbeat: Called at each heartbeat or pulse with the sender's last full
+            heartbeat and whether that has just arrived.
     """
 
     def __init__(
@@ -37,20 +37,20 @@
         context: MemberContext,
         remote: Callable[[], Mapping[str, int]],
         on_new: Callable[[str], None],
-        on_heard: Callable[[Heartbeat, bool], None],
+        on_heartbeat: Callable[[Heartbeat, bool], None],
     ) -> None:
         self._context = context
         self._remote = remote
         self._on_new = on_new
-        self._on_heard = on_heard
+        self._on_heartbeat = on_heartbeat
         self._sequence = 0
         self._announced = -1
-        context.transport.subscribe(Heartbeat, self._take_heartbeat)
-        context.transport.subscribe(Pulse, self._take_pulse)
-        context.transport.subscribe(HeartbeatWanted, self._take_wanted)
+        context.transport.subscribe(Heartbeat, self._handle_heartbeat)
+        context.transport.subscribe(Pulse, self._handle_pulse)
+        context.transport.subscribe(HeartbeatWanted, self._handle_wanted)
 
     def own(self) -> Heartbeat:
-        """Return this VM's heartbeat as it stands."""
+        """Return this VM's current heartbeat."""
         context = self._context
         state = context.state
         return Heartbeat(
@@ -69,7 +69,7 @@
         )
 
     def beat(self, now_ms: float) -> None:
-        """Send a sign of life to all, and try those that are silent."""
+        """Send a heartbeat or pulse to live VMs and contact silent ones."""
         self._sequence += 1
         context = self._context
         if not self.announce():
@@ -80,7 +80,7 @@
             context.transport.send(vm_id, self.own())
 
     def announce(self, *, always: bool = False) -> bool:
-        """Send the own heartbeat in full if it has changed."""
+        """Send the full heartbeat to all if it has changed; return whether sent."""
         heartbeat = self.own()
         state_hash = hash_of_heartbeat(heartbeat)
         if state_hash == self._announced and not always:
@@ -89,39 +89,39 @@
         self._broadcast(heartbeat)
         return True
 
-    def introduce(self, vm_id: str) -> None:
-        """Send the own heartbeat in full to one VM."""
+    def send_full(self, vm_id: str) -> None:
+        """Send the full heartbeat to one VM."""
         self._context.transport.send(vm_id, self.own())
 
     def _broadcast(self, message: Message) -> None:
         for heartbeat in self._context.table.heartbeats():
             self._context.transport.send(heartbeat.vm_id, message)
 
-    def _take_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
         context = self._context
         foreign = heartbeat.data_centre != context.data_centre
         if foreign or heartbeat.vm_id != sender:
             return
         heard_ms = context.heard_ms()
-        is_new = context.table.take(heartbeat, heard_ms)
+        is_new = context.table.put(heartbeat, heard_ms)
         context.contacts.learn(
             sender, heartbeat.data_centre, heartbeat.address, heard_ms
         )
         context.contacts.heard(sender, heard_ms)
         if is_new:
             self._on_new(sender)
-        self._on_heard(heartbeat, True)
+        self._on_heartbeat(heartbeat, True)
 
-    def _take_pulse(self, sender: str, pulse: Pulse) -> None:
+    def _handle_pulse(self, sender: str, pulse: Pulse) -> None:
         context = self._context
-        known = context.table.pulse(sender, pulse.state_hash, context.heard_ms())
+        known = context.table.confirm(sender, pulse.state_hash, context.heard_ms())
         if not known:
             context.transport.send(sender, HeartbeatWanted())
             return
         heartbeat = context.table.find(sender)
         if heartbeat is not None:
-            self._on_heard(heartbeat, False)
+            self._on_heartbeat(heartbeat, False)
 
-    def _take_wanted(self, sender: str, message: HeartbeatWanted) -> None:
+    def _handle_wanted(self, sender: str, message: HeartbeatWanted) -> None:
         del message
-        self.introduce(sender)
+        self.send_full(sender)
--- a/src/pomelolane/membership/transport.py
+++ b/src/pomelolane/membership/transport.py
@@ -1,7 +1,7 @@
 """Messages between VMs over ZeroMQ, on the process's one event loop.
 
-Each VM binds a ROUTER socket that it only reads and connects a DEALER to each
-peer that it only writes, so an answer travels over the answerer's own link.
+Each VM binds a ROUTER socket that it only reads from, and connects to each peer a
+DEALER socket that it only writes to. A reply is thus sent over the replier's own link.
 """
 
 from __future__ import annotations
@@ -38,20 +38,20 @@
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 MAX_READ_BATCH = 256
 RECEIVE_QUEUE = 10_000
-NOT_LOOPBACK = "no keys, and the address is none of this machine's"
-PLAIN_ALLOWED = "a loopback address unless keys are given"
+NOT_LOOPBACK = "no cluster keys are set and the address is not a loopback address"
+UNENCRYPTED_ALLOWED = "a loopback address unless cluster keys are set"
 
 
 class ZmqTransport:
     """The :class:`~pomelolane.ports.Transport` between processes.
 
     Args:
-        vm_id: This VM.
+        vm_id: Id of this VM.
         incarnation: Number of this start of the VM.
         host: Address to listen on.
         port: Port to listen on, 0 for any free one.
-        addresses: Where peers are.
-        keys: CURVE keys, None to talk in the clear over loopback.
+        addresses: Addresses of peers.
+        keys: CURVE keys, None for unencrypted messages over loopback.
         clock: Time source.
     """
 
@@ -70,7 +70,7 @@
         self.addresses = addresses
         self.port = port
         self.rejected = 0
-        self.faults = 0
+        self.handler_errors = 0
         self.last_rejection = ""
         self.bytes_received = 0
         self.frames_received = 0
@@ -78,7 +78,7 @@
         self._host = host
         self._keys = keys
         self._clock = clock
-        self._guard = ReplayGuard(clock)
+        self._replay_guard = ReplayGuard(clock)
         self._handlers: dict[type[Message], list[Callable]] = defaultdict(list)
         self._links: dict[str, Link] = {}
         self._closed_bytes = 0
@@ -104,7 +104,7 @@
         return self._closed_frames + sum(x.frames_sent for x in self._links.values())
 
     @property
-    def strangers_refused(self) -> int:
+    def unlisted_keys_refused(self) -> int:
         """Connections refused because their key is not listed."""
         return self._authenticator.refused if self._authenticator else 0
 
@@ -121,7 +121,7 @@
             SettingError: The address is not allowed or in use.
         """
         if self._keys is None and not is_loopback(self._host):
-            raise SettingError("--host", self._host, PLAIN_ALLOWED)
+            raise SettingError("--host", self._host, UNENCRYPTED_ALLOWED)
         self._context = zmq.Context()
         if self._keys is not None:
             self._authenticator = KeyAuthenticator(self._context, self._keys)
@@ -132,7 +132,7 @@
         loop.call_soon(self._read_ready)
 
     async def stop(self) -> None:
-        """Close all sockets; queued messages get a moment to leave."""
+        """Close all sockets after a short attempt to send queued messages."""
         for vm_id in list(self._links):
             self.disconnect(vm_id)
         if self._router is not None:
@@ -148,7 +148,10 @@
             self._context = None
 
     def send(self, vm_id: str, message: Message) -> bool:
-        """Queue a message without blocking; one to oneself loops back."""
+        """Queue a message without blocking; return whether it was queued.
+
+        A message to this VM itself is delivered locally.
+        """
         if vm_id == self.vm_id:
             loop = asyncio.get_running_loop()
             loop.call_soon(self._deliver, vm_id, message)
@@ -165,7 +168,7 @@
     def subscribe(
         self, kind: type[Message], handler: Callable[[str, Message], None]
     ) -> None:
-        """Call ``handler(sender_vm_id, message)`` for each message of a kind."""
+        """Call ``handler(sender_vm_id, message)`` for each message of a class."""
         self._handlers[kind].append(handler)
 
     def disconnect(self, vm_id: str) -> None:
@@ -178,8 +181,8 @@
             link.close()
 
     def forget_silent(self) -> None:
-        """Free what is remembered of senders that have long been silent."""
-        self._guard.forget_silent()
+        """Drop the replay records of senders that have long been silent."""
+        self._replay_guard.forget_silent()
 
     def _bind(self) -> zmq.Socket:
         router = self._context.socket(zmq.ROUTER)
@@ -230,8 +233,8 @@
         )
 
     def _read_ready(self) -> None:
-        # The socket's descriptor signals edges, so it is read until empty; a
-        # long backlog yields to the rest of the loop in between.
+        # The socket's descriptor is edge-triggered, so the socket is read until empty;
+        # a long backlog yields to other event loop work in between.
         for _ in range(MAX_READ_BATCH):
             router = self._router
             if router is None or not router.getsockopt(zmq.EVENTS) & zmq.POLLIN:
@@ -247,7 +250,7 @@
         try:
             self._check_sender(sender, frame)
             envelope = decode_envelope(frame.buffer)
-            self._guard.admit(sender, envelope)
+            self._replay_guard.admit(sender, envelope)
             messages = [decode_message(raw) for raw in envelope.messages]
         except TransportError as error:
             self._reject(sender, str(error))
@@ -257,7 +260,7 @@
 
     def _check_sender(self, sender: str, frame: zmq.Frame) -> None:
         if not sender:
-            raise TransportError("sender not stated")
+            raise TransportError("the connection does not state its VM id")
         if self._keys is None:
             return
         key = _property(frame, USER_ID_PROPERTY)
@@ -269,8 +272,8 @@
             try:
                 handler(sender, message)
             except Exception as error:
-                # A fault in one part must not stop the others' messages.
-                self.faults += 1
+                # An error in one handler must not keep messages from the others.
+                self.handler_errors += 1
                 name = getattr(handler, "__qualname__", repr(handler))
                 log_event(TASK_FAILED, task=name, error=repr(error))
 
