--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -14,7 +14,7 @@
     from collections.abc import Sequence
 
     from pomelolane.coordination import Coordination, Desk
-    from pomelolane.forwarding.told import ToldUses
+    from pomelolane.forwarding.usage_exchange import UsageExchange
     from pomelolane.scheduler.spans import Use
 
 TICK_S = 0.25
@@ -73,13 +73,13 @@
         self,
         coordination: Coordination,
         record: UseRecord,
-        told: ToldUses,
+        usage_exchange: UsageExchange,
         load_delay_s: float = LOAD_DELAY_S,
     ) -> None:
         self._load_delay_s = load_delay_s
         self._coordination = coordination
         self._record = record
-        self._told = told
+        self._usage_exchange = usage_exchange
         self._saved: dict[str, bool] = {}
         self._overdue: set[str] = set()
         self._awaiting: set[str] = set()
@@ -87,7 +87,7 @@
         self._loading: set[asyncio.Task[None]] = set()
         coordination.role.on_taken = self._taken
         coordination.role.on_left = self._left
-        told.on_left = self._heard
+        usage_exchange.on_role_released = self._heard
 
     async def run(self) -> None:
         """Save until cancelled."""
@@ -150,13 +150,16 @@
     def _count_told(self, service: str) -> None:
         """Judge by the word of the scheduler before until the record is read."""
         desk = self._coordination.role.desk(service)
-        guess_part = self._told.guess_part(service)
+        guess_part = self._usage_exchange.guess_part(service)
         if desk is not None and guess_part < 1.0:
             desk.account.take_uses(self._known(service, ()), guess_part=guess_part)
 
     def _known(self, service: str, recorded: Sequence[Use]) -> list[Use]:
         """Return what others let pass, by the record, their word, and this VM."""
-        return [*self._told.merge(recorded), *self._passed_here_beside(service)]
+        return [
+            *self._usage_exchange.merge(recorded),
+            *self._passed_here_beside(service),
+        ]
 
     def _left(self, service: str) -> None:
         """Tell the others what passed here: the store may not have heard of it."""
@@ -166,7 +169,7 @@
         if uses:
             scheduler = self._coordination.schedulers().get(service, "")
             successor = self._coordination.successor(service)
-            self._told.tell_all(
+            self._usage_exchange.send_final_usage(
                 service,
                 uses,
                 next_vms={scheduler, successor} - {""},
@@ -204,7 +207,7 @@
             log_event(events.LEDGER_FAILED, service=service, error=error)
         uses = self._known(service, recorded)
         if is_read:
-            self._told.keep_read(recorded)
+            self._usage_exchange.cache_recorded(recorded)
             self._unread.pop(service, None)
         else:
             self._unread[service] = READ_AGAIN_TICKS
@@ -212,7 +215,7 @@
         if desk is None:
             return
         # One word is not the record: others may have let pass what nobody has told.
-        guess_part = 0.0 if is_read else self._told.guess_part(service)
+        guess_part = 0.0 if is_read else self._usage_exchange.guess_part(service)
         desk.account.take_uses(uses, guess_part=guess_part)
         tokens = sum(use.tokens for use in uses)
         log_event(events.LEDGER_LOADED, service=service, tokens=tokens)
@@ -232,7 +235,9 @@
     def _passed_here_beside(self, service: str) -> list[Use]:
         """Return what passed under this VM for other services."""
         return [
-            replace(use, service=name, scheduler=self._told.own_source(name)[1])
+            replace(
+                use, service=name, scheduler=self._usage_exchange.own_source(name)[1]
+            )
             for name, desk in self._coordination.role.desks().items()
             if name != service
             for use in desk.account.uses()
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -20,8 +20,8 @@
 from pomelolane.forwarding.ledger import Ledger
 from pomelolane.forwarding.notices import Notices
 from pomelolane.forwarding.sender import Sender
-from pomelolane.forwarding.told import ToldUses
 from pomelolane.forwarding.tree import tree_from_configuration
+from pomelolane.forwarding.usage_exchange import UsageExchange
 from pomelolane.forwarding.usenews import UseNews
 from pomelolane.http.listener import Listener, listening_socket
 from pomelolane.logs import log_event
@@ -159,11 +159,11 @@
             polls_engines=False,
             known_vms=self.member.known_vms,
         )
-        told = ToldUses(
+        usage_exchange = UsageExchange(
             options.vm_id, incarnation, self.member, self.member.transport, clock
         )
-        self.ledger = Ledger(self.coordination, record, told)
-        self.use_news = UseNews(options.vm_id, self.coordination, told)
+        self.ledger = Ledger(self.coordination, record, usage_exchange)
+        self.use_news = UseNews(options.vm_id, self.coordination, usage_exchange)
         self.quarantine = Quarantine(clock)
         self._crashes = CrashWatch(
             self.quarantine, self._pool, directory, clock, WallClock()
--- a/src/pomelolane/forwarding/usenews.py
+++ b/src/pomelolane/forwarding/usenews.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from pomelolane.coordination import Coordination, Desk
-    from pomelolane.forwarding.told import ToldUses
+    from pomelolane.forwarding.usage_exchange import UsageExchange
     from pomelolane.scheduler.spans import Use
 
 _ALONE = "/alone"
@@ -39,12 +39,14 @@
         told: Way to the others.
     """
 
-    def __init__(self, vm_id: str, coordination: Coordination, told: ToldUses) -> None:
+    def __init__(
+        self, vm_id: str, coordination: Coordination, usage_exchange: UsageExchange
+    ) -> None:
         self._vm_id = vm_id
         self._coordination = coordination
-        self._told = told
+        self._usage_exchange = usage_exchange
         self._listeners: dict[str, dict[str, int]] = {}
-        told.on_news = self._heard
+        usage_exchange.on_usage = self._heard
 
     async def run(self) -> None:
         """Tell until cancelled."""
@@ -63,7 +65,7 @@
         desks = self._coordination.role.desks()
         for service in self._listeners.keys() - desks.keys():
             del self._listeners[service]
-        if self._told.take_has_read():
+        if self._usage_exchange.consume_record_read():
             # Those who take the role next may not be able to read what was read here.
             self._listeners.clear()
         self._tell_private(whole=whole)
@@ -71,7 +73,7 @@
             listeners = self._listeners_of(service)
             newcomers = self._newcomers(service, listeners)
             if newcomers:
-                self._told.pass_on(newcomers)
+                self._usage_exchange.relay_known_usage(newcomers)
             if not listeners:
                 continue
             account = desk.account
@@ -137,12 +139,12 @@
             guess_part: Part of limits that the scheduler counts by a guess; None for
                 what the gateway let pass alone.
         """
-        _, account = self._told.own_source(service)
+        _, account = self._usage_exchange.own_source(service)
         if guess_part is None:
             account += _ALONE
         if self._vm_id in listeners:
             self._heard((service, account), uses, adds)
-        self._told.tell(
+        self._usage_exchange.send_usage(
             listeners, service, uses, adds=adds, account=account, guess_part=guess_part
         )
 
@@ -156,5 +158,5 @@
         return [
             desk
             for service, desk in desks.items()
-            if self._told.own_source(service) != source
+            if self._usage_exchange.own_source(service) != source
         ]
--- a/src/pomelolane/platform/userecord.py
+++ b/src/pomelolane/platform/userecord.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from pomelolane import events
-from pomelolane.forwarding.told import start_name
+from pomelolane.forwarding.usage_exchange import account_name
 from pomelolane.logs import log_event
 from pomelolane.scheduler.spans import Use
 
@@ -140,7 +140,7 @@
             entry.organisation,
             max(0, now_ms - entry.at_ms),
             entry.tokens,
-            start_name(vm_id, entry.incarnation),
+            account_name(vm_id, entry.incarnation),
             entry.bound,
             service,
         )
--- a/tests/coordination/limited_world.py
+++ b/tests/coordination/limited_world.py
@@ -12,7 +12,7 @@
 
 from pomelolane.exceptions import PlatformUnavailableError
 from pomelolane.forwarding.ledger import Ledger
-from pomelolane.forwarding.told import ToldUses, start_name
+from pomelolane.forwarding.usage_exchange import UsageExchange, account_name
 from pomelolane.forwarding.usenews import WHOLE_TICKS, UseNews
 from pomelolane.messages import Handle, ToldUse, UsesTold
 from pomelolane.model import Endpoint, Limits, Organisation, Service, ServiceKind, Work
@@ -50,7 +50,7 @@
             replace(
                 use,
                 age_ms=use.age_ms + int(now_ms - at_ms),
-                scheduler=start_name(*start),
+                scheduler=account_name(*start),
                 service=name,
             )
             for (name, start), (at_ms, uses) in self._world.record.items()
@@ -112,12 +112,14 @@
 
     def _keep_account(self, name):
         vm = self.vms[name]
-        told = ToldUses(
+        usage_exchange = UsageExchange(
             name, vm.peer.incarnation, vm.membership, vm.transport, self.clock
         )
         record = MemoryRecord(self, name)
-        self.ledgers[name] = Ledger(vm.coordination, record, told, load_delay_s=0.0)
-        self.news[name] = UseNews(name, vm.coordination, told)
+        self.ledgers[name] = Ledger(
+            vm.coordination, record, usage_exchange, load_delay_s=0.0
+        )
+        self.news[name] = UseNews(name, vm.coordination, usage_exchange)
 
     async def lose(self, name):
         """Kill a VM; the others see that it is gone."""
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -8,7 +8,7 @@
 from pomelolane.clock import ManualClock
 from pomelolane.exceptions import PlatformUnavailableError
 from pomelolane.forwarding.ledger import Ledger
-from pomelolane.forwarding.told import ToldUses
+from pomelolane.forwarding.usage_exchange import UsageExchange
 from pomelolane.messages import ToldUse, UsesTold
 from pomelolane.ports import Peer, View
 from pomelolane.scheduler.spans import Use
@@ -90,13 +90,17 @@
     )
     context.record = FakeRecord()
     context.network = FakeNetwork()
-    told = ToldUses("vm-0", 1, context.network, context.network, ManualClock())
+    usage_exchange = UsageExchange(
+        "vm-0", 1, context.network, context.network, ManualClock()
+    )
     coordination = SimpleNamespace(
         role=context.role,
         schedulers=lambda: {SERVICE: "vm-1"},
         successor=lambda service: "vm-2",
     )
-    context.ledger = Ledger(coordination, context.record, told, load_delay_s=0.0)
+    context.ledger = Ledger(
+        coordination, context.record, usage_exchange, load_delay_s=0.0
+    )
 
 
 @given('a new scheduler and a record of 100 tokens of "vm-1" and 40 of "vm-2"')
