--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -22,7 +22,7 @@
 from pomelolane.forwarding.sender import Sender
 from pomelolane.forwarding.tree import tree_from_configuration
 from pomelolane.forwarding.usage_exchange import UsageExchange
-from pomelolane.forwarding.usenews import UseNews
+from pomelolane.forwarding.usage_publisher import UsagePublisher
 from pomelolane.http.listener import Listener, listening_socket
 from pomelolane.logs import log_event
 from pomelolane.membership import make_member, reads_for_others
@@ -163,7 +163,9 @@
             options.vm_id, incarnation, self.member, self.member.transport, clock
         )
         self.ledger = Ledger(self.coordination, record, usage_exchange)
-        self.use_news = UseNews(options.vm_id, self.coordination, usage_exchange)
+        self.usage_publisher = UsagePublisher(
+            options.vm_id, self.coordination, usage_exchange
+        )
         self.quarantine = Quarantine(clock)
         self._crashes = CrashWatch(
             self.quarantine, self._pool, directory, clock, WallClock()
--- a/src/pomelolane/platform/host.py
+++ b/src/pomelolane/platform/host.py
@@ -12,13 +12,13 @@
 from pomelolane.background import BackgroundTasks
 from pomelolane.clock import MonotonicClock
 from pomelolane.forwarding import CurrentConfiguration, EndpointDirectory
-from pomelolane.forwarding.carrying import carried_per_s
 from pomelolane.forwarding.node import (
     ForwardingNode,
     NodeOptions,
     listen_for_callers,
     listen_for_probes,
 )
+from pomelolane.forwarding.scheduling_capacity import scheduling_capacity_per_s
 from pomelolane.logs import log_event
 from pomelolane.meeting import meet_others
 from pomelolane.platform.configurationwatch import ConfigurationWatch
@@ -147,7 +147,7 @@
         self._background.start("read crashes", node.crash_record.read())
         self._background.start("write crashes", node.crash_record.write())
         self._background.start("ledger", node.ledger.run())
-        self._background.start("use_news", node.use_news.run())
+        self._background.start("use_news", node.usage_publisher.run())
         self._background.start("rollouts", node.rollouts.run())
         sock, self._early = self._early, None
         self._front = await listen_for_callers(node, file.front, sock)
@@ -251,5 +251,5 @@
         grace_ms=file.grace_ms,
         retries=file.retries,
         rollouts=file.rollouts,
-        carries_per_s=carried_per_s(file.core_share, file.link_mbps),
+        carries_per_s=scheduling_capacity_per_s(file.core_share, file.link_mbps),
     )
--- a/tests/coordination/limited_world.py
+++ b/tests/coordination/limited_world.py
@@ -13,7 +13,7 @@
 from pomelolane.exceptions import PlatformUnavailableError
 from pomelolane.forwarding.ledger import Ledger
 from pomelolane.forwarding.usage_exchange import UsageExchange, account_name
-from pomelolane.forwarding.usenews import WHOLE_TICKS, UseNews
+from pomelolane.forwarding.usage_publisher import FULL_REPORT_TICKS, UsagePublisher
 from pomelolane.messages import Handle, ToldUse, UsesTold
 from pomelolane.model import Endpoint, Limits, Organisation, Service, ServiceKind, Work
 from pomelolane.ports import Grant
@@ -119,7 +119,7 @@
         self.ledgers[name] = Ledger(
             vm.coordination, record, usage_exchange, load_delay_s=0.0
         )
-        self.news[name] = UseNews(name, vm.coordination, usage_exchange)
+        self.news[name] = UsagePublisher(name, vm.coordination, usage_exchange)
 
     async def lose(self, name):
         """Kill a VM; the others see that it is gone."""
@@ -186,7 +186,7 @@
             await self.run(ASK_EACH_MS)
             self.turns += 1
             for news in self.news.values():
-                news.tell(whole=self.turns % WHOLE_TICKS == 0)
+                news.publish(full=self.turns % FULL_REPORT_TICKS == 0)
             await self.settle()
             if self.clock.now_ms() >= self.ledger_at_ms:
                 self.ledger_at_ms = self.clock.now_ms() + LEDGER_EACH_MS
