--- a/src/pomelolane/forwarding/configuration.py
+++ b/src/pomelolane/forwarding/configuration.py
@@ -13,7 +13,7 @@
     from pomelolane.model import Organisation, Service
 
 
-MOST_RANKS = 16
+MAX_RANKS = 16
 """Ranks of routes that can be told apart within one rank of organisations."""
 
 
@@ -143,8 +143,8 @@
         route's rank. Behind all of them it would be starved by any overload.
         """
         least = max(self.rank_by_organisation.values(), default=0)
-        first = min(self.rank_by_organisation.get(organisation, least), MOST_RANKS - 1)
-        return first * MOST_RANKS + min(route.rank, MOST_RANKS - 1)
+        first = min(self.rank_by_organisation.get(organisation, least), MAX_RANKS - 1)
+        return first * MAX_RANKS + min(route.rank, MAX_RANKS - 1)
 
 
 class CurrentConfiguration:
@@ -153,7 +153,7 @@
     def __init__(self) -> None:
         self._value: Configuration | None = None
         self._known = asyncio.Event()
-        self._followers: list[Callable[[Configuration], None]] = []
+        self._callbacks: list[Callable[[Configuration], None]] = []
 
     @property
     def value(self) -> Configuration | None:
@@ -165,13 +165,13 @@
         """Its version, 0 before the first."""
         return self._value.version if self._value is not None else 0
 
-    async def known(self) -> None:
+    async def wait_until_known(self) -> None:
         """Return as soon as a configuration is in force."""
         await self._known.wait()
 
-    def on_change(self, follower: Callable[[Configuration], None]) -> None:
+    def on_change(self, callback: Callable[[Configuration], None]) -> None:
         """Call ``follower(configuration)`` after each change."""
-        self._followers.append(follower)
+        self._callbacks.append(callback)
 
     def adopt(self, configuration: Configuration) -> bool:
         """Put a newer configuration in force; False for one that is not newer."""
@@ -179,6 +179,6 @@
             return False
         self._value = configuration
         self._known.set()
-        for follower in self._followers:
-            follower(configuration)
+        for callback in self._callbacks:
+            callback(configuration)
         return True
--- a/src/pomelolane/forwarding/departures.py
+++ b/src/pomelolane/forwarding/departures.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from pomelolane.forwarding.endpoints import name_of_start
+from pomelolane.forwarding.endpoints import instance_id_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
     from pomelolane.forwarding.endpoints import EndpointDirectory
     from pomelolane.model import Endpoint
 
-    class Marks(Protocol):
+    class LeavingMarks(Protocol):
         """Marks of what leaves, shared by all VMs."""
 
         def mark_leaving(self, endpoint_id: str, source: str) -> None:
@@ -33,7 +33,7 @@
 SOURCE = "answer"
 
 
-class SaidDepartures:
+class AnnouncedDepartures:
     """Takes endpoints out of use that leave by their own word.
 
     Args:
@@ -41,25 +41,25 @@
         marks: Tells the other VMs, and is told by them.
     """
 
-    def __init__(self, directory: EndpointDirectory, marks: Marks) -> None:
+    def __init__(self, directory: EndpointDirectory, marks: LeavingMarks) -> None:
         self._directory = directory
         self._marks = marks
-        self._told: set[str] = set()
-        marks.on_leaving(lambda start, _: directory.mark_leaving(start))
-        directory.on_change(self._take_back)
+        self._announced: set[str] = set()
+        marks.on_leaving(lambda instance_id, _: directory.mark_leaving(instance_id))
+        directory.on_change(self._clear_ended)
 
-    def hear(self, endpoint: Endpoint) -> None:
+    def announce(self, endpoint: Endpoint) -> None:
         """Take an endpoint's word that it leaves."""
-        start = name_of_start(endpoint)
-        if self._directory.mark_leaving(start):
-            self._told.add(start)
-            self._marks.mark_leaving(start, SOURCE)
+        instance_id = instance_id_of(endpoint)
+        if self._directory.mark_leaving(instance_id):
+            self._announced.add(instance_id)
+            self._marks.mark_leaving(instance_id, SOURCE)
 
-    def _take_back(self) -> None:
+    def _clear_ended(self) -> None:
         """End the marks of starts that are no more."""
-        if not self._told:
+        if not self._announced:
             return
-        listed = {name_of_start(one) for one in self._directory.listed()}
-        for start in self._told - listed:
-            self._told.discard(start)
-            self._marks.clear_leaving(start)
+        listed = {instance_id_of(endpoint) for endpoint in self._directory.listed()}
+        for instance_id in self._announced - listed:
+            self._announced.discard(instance_id)
+            self._marks.clear_leaving(instance_id)
--- a/src/pomelolane/forwarding/endpoints.py
+++ b/src/pomelolane/forwarding/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of forwarded services, as this VM knows them now."""
+"""The directory of endpoints of forwarded services."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from pomelolane.model import Endpoint
     from pomelolane.ports import Clock
 
-MARK_KEPT_MS = 600_000.0
-"""How long the mark of an endpoint is kept that the registry lists no more: it may only
-have lapsed there."""
+LEAVING_MARK_TTL_MS = 600_000.0
+"""How long a leaving mark outlives the endpoint's registry entry, which may have lapsed
+although the endpoint still runs."""
 
 
-def name_of_start(endpoint: Endpoint) -> str:
-    """Return a name that an endpoint has until it starts anew."""
+def instance_id_of(endpoint: Endpoint) -> str:
+    """Return an id that identifies an endpoint until its next restart."""
     return f"{endpoint.endpoint_id}@{endpoint.born_ms}"
 
 
@@ -29,20 +29,20 @@
     """Endpoints by id, with the time at which the list was last confirmed.
 
     Args:
-        clock: Time.
+        clock: Source of the current time.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._endpoints: dict[str, Endpoint] = {}
         self._confirmed_ms = clock.now_ms()
-        self._marked_ms: dict[str, float] = {}
+        self._leaving_marked_ms: dict[str, float] = {}
         self._version = 0
-        self._followers: list[Callable[[], None]] = []
+        self._callbacks: list[Callable[[], None]] = []
         self._known = asyncio.Event()
 
-    async def known(self) -> None:
-        """Return as soon as a list was adopted."""
+    async def wait_until_known(self) -> None:
+        """Wait until the first list of endpoints was adopted."""
         await self._known.wait()
 
     @property
@@ -64,53 +64,57 @@
         endpoint = self._endpoints.get(endpoint_id)
         return None if endpoint is None or endpoint.leaving else endpoint
 
-    def on_change(self, follower: Callable[[], None]) -> None:
+    def on_change(self, callback: Callable[[], None]) -> None:
         """Call back after each change of the list."""
-        self._followers.append(follower)
+        self._callbacks.append(callback)
 
     def confirm(self) -> None:
-        """Note that the source still says the same."""
+        """Record that the source still reports the same list."""
         self._confirmed_ms = self._clock.now_ms()
 
-    def mark_leaving(self, start: str) -> bool:
-        """Count a start of an endpoint as leaving, whatever the source says.
+    def mark_leaving(self, instance_id: str) -> bool:
+        """Mark an endpoint instance as leaving, whatever the source reports.
 
         Args:
-            start: Its :func:`name_of_start`.
+            instance_id: Its id as returned by :func:`instance_id_of`.
 
         Returns:
-            Whether that is news.
+            Whether it was not marked before.
         """
-        if start in self._marked_ms:
+        if instance_id in self._leaving_marked_ms:
             return False
-        self._marked_ms[start] = self._clock.now_ms()
+        self._leaving_marked_ms[instance_id] = self._clock.now_ms()
         self._adopt(self._endpoints)
         return True
 
-    def _with_marks(self, endpoints: dict[str, Endpoint]) -> dict[str, Endpoint]:
+    def _apply_leaving_marks(
+        self, endpoints: dict[str, Endpoint]
+    ) -> dict[str, Endpoint]:
         now_ms = self._clock.now_ms()
         marked = {
-            name: replace(one, leaving=True)
-            for name, one in endpoints.items()
-            if name_of_start(one) in self._marked_ms
+            endpoint_id: replace(endpoint, leaving=True)
+            for endpoint_id, endpoint in endpoints.items()
+            if instance_id_of(endpoint) in self._leaving_marked_ms
         }
-        self._marked_ms.update((name_of_start(one), now_ms) for one in marked.values())
-        self._marked_ms = {
-            start: at_ms
-            for start, at_ms in self._marked_ms.items()
-            if now_ms - at_ms < MARK_KEPT_MS
+        self._leaving_marked_ms.update(
+            (instance_id_of(endpoint), now_ms) for endpoint in marked.values()
+        )
+        self._leaving_marked_ms = {
+            instance_id: at_ms
+            for instance_id, at_ms in self._leaving_marked_ms.items()
+            if now_ms - at_ms < LEAVING_MARK_TTL_MS
         }
         return endpoints | marked
 
     def replace(
         self, endpoints: dict[str, Endpoint], version: int, *, confirms: bool = True
     ) -> None:
-        """Adopt a list; followers hear of it only if it differs.
+        """Adopt a list, and call the callbacks if it differs from the current one.
 
         Args:
-            endpoints: The list.
-            version: Its version, for the log.
-            confirms: Whether the source has just said so.
+            endpoints: Endpoints by id.
+            version: Version of the list, for the log.
+            confirms: Whether the source has just confirmed the list.
         """
         if confirms:
             self.confirm()
@@ -119,17 +123,17 @@
         self._adopt(endpoints)
 
     def _adopt(self, endpoints: dict[str, Endpoint]) -> None:
-        if self._marked_ms:
-            endpoints = self._with_marks(endpoints)
+        if self._leaving_marked_ms:
+            endpoints = self._apply_leaving_marks(endpoints)
         version = self._version
-        before = self._endpoints
-        if endpoints == before:
+        previous = self._endpoints
+        if endpoints == previous:
             return
         self._endpoints = endpoints
-        for endpoint_id in before.keys() - endpoints.keys():
+        for endpoint_id in previous.keys() - endpoints.keys():
             log_event(events.ENDPOINT_GONE, endpoint=endpoint_id, version=version)
         for endpoint_id, endpoint in endpoints.items():
-            if before.get(endpoint_id) != endpoint:
+            if previous.get(endpoint_id) != endpoint:
                 log_event(
                     events.ENDPOINT_KNOWN,
                     endpoint=endpoint_id,
@@ -138,5 +142,5 @@
                     leaving=endpoint.leaving,
                     version=version,
                 )
-        for follower in self._followers:
-            follower()
+        for callback in self._callbacks:
+            callback()
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -54,7 +54,7 @@
     from pomelolane.forwarding.call import ForwardCall
     from pomelolane.forwarding.endpoints import EndpointDirectory
     from pomelolane.forwarding.intake import Intake
-    from pomelolane.forwarding.notices import Notices
+    from pomelolane.forwarding.notices import NoticeHandler
     from pomelolane.forwarding.sender import Sender, Sent
     from pomelolane.http.exchange import Exchange
     from pomelolane.model import Endpoint
@@ -111,7 +111,7 @@
         client: SchedulerClient,
         sender: Sender,
         directory: EndpointDirectory,
-        notices: Notices,
+        notice_handler: NoticeHandler,
         make_budget: Callable[[], SharedRetryBudget],
         quarantine: Quarantine,
         crashes: CrashWatch,
@@ -122,7 +122,7 @@
         self._client = client
         self._sender = sender
         self._directory = directory
-        self._notices = notices
+        self._notice_handler = notice_handler
         self._make_budget = make_budget
         self._quarantine = quarantine
         self._gate = Gate(quarantine, client, clock)
@@ -284,7 +284,7 @@
             again = broken(state, watch, str(error))
             await state.run.broke()
             raise again from error
-        self._notices.take(endpoint, sent.notice, watch)
+        self._notice_handler.handle(endpoint, sent.notice, watch)
         if sent.verdict is Verdict.NOT_RUN:
             state.run.settle()
             state.may_have_run = may_have_run
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -98,7 +98,7 @@
             self.read_again()
             await self.save(only_due=ticks % CALM_TICKS != 0)
 
-    async def loaded(self) -> None:
+    async def wait_until_loaded(self) -> None:
         """Return when the records of the roles taken until now were read, or soon.
 
         A scheduler refuses more before that than limits demand.
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -14,11 +14,11 @@
 from pomelolane.endpoints import ConnectionPool
 from pomelolane.forwarding.app import CallerApp, ProbeApp
 from pomelolane.forwarding.budget import RetryAllowance, SharedRetryBudget
-from pomelolane.forwarding.departures import SaidDepartures
+from pomelolane.forwarding.departures import AnnouncedDepartures
 from pomelolane.forwarding.forwarder import Forwarder
 from pomelolane.forwarding.intake import Intake
 from pomelolane.forwarding.ledger import Ledger
-from pomelolane.forwarding.notices import Notices
+from pomelolane.forwarding.notices import NoticeHandler
 from pomelolane.forwarding.sender import Sender
 from pomelolane.forwarding.tree import tree_from_configuration
 from pomelolane.forwarding.usage_exchange import UsageExchange
@@ -194,9 +194,9 @@
             self.coordination.client,
             Sender(self._pool, dialect),
             directory,
-            Notices(
+            NoticeHandler(
                 directory,
-                SaidDepartures(directory, self.member),
+                AnnouncedDepartures(directory, self.member),
                 self.coordination.client,
             ),
             self._make_budget,
@@ -206,7 +206,7 @@
             options.data_centre,
         )
         self.member.on_tick(self.forwarder.timeouts.look)
-        self._takes_part = False
+        self._has_joined_scheduling = False
         self._is_started = False
         self._handover: asyncio.Task[None] | None = None
         current.on_change(self._intake.adopt)
@@ -225,16 +225,16 @@
         await self.member.start()
         await self.coordination.start()
 
-    def take_part(self) -> None:
+    def join_scheduling(self) -> None:
         """Take part in scheduling.
 
         Only after the others were met: a VM that is alone in its view takes all roles,
         and lets pass of limits what each of a fleet that starts together lets pass.
         """
-        self._takes_part = True
+        self._has_joined_scheduling = True
         self._configure()
 
-    def take_callers(self) -> None:
+    def accept_callers(self) -> None:
         """Say that callers may come."""
         self._is_started = True
         self._intake.open()
@@ -312,7 +312,7 @@
 
     def _configure(self) -> None:
         configuration = self._current.value
-        if configuration is None or not self._takes_part:
+        if configuration is None or not self._has_joined_scheduling:
             return
         usable = self.rollouts.usable(self._directory.all)
         tree = tree_from_configuration(configuration, usable)
--- a/src/pomelolane/forwarding/notices.py
+++ b/src/pomelolane/forwarding/notices.py
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from pomelolane.coordination.client import GatewayClient
     from pomelolane.coordination.watch import StreamWatch
-    from pomelolane.forwarding.departures import SaidDepartures
+    from pomelolane.forwarding.departures import AnnouncedDepartures
     from pomelolane.forwarding.endpoints import EndpointDirectory
     from pomelolane.model import Endpoint
     from pomelolane.ports.forwarding import EndpointNotice
 
-_LOGGED_BYTES = 64
+_MAX_LOGGED_VALUE_CHARS = 64
 
 
-class Notices:
+class NoticeHandler:
     """Passes notices on to those who act on them.
 
     Args:
@@ -30,16 +30,16 @@
     def __init__(
         self,
         directory: EndpointDirectory,
-        departures: SaidDepartures,
+        departures: AnnouncedDepartures,
         client: GatewayClient,
     ) -> None:
         self._client = client
         self._directory = directory
         self._departures = departures
         self._rejected: dict[str, tuple[tuple[str, str], ...]] = {}
-        directory.on_change(self._forget_gone)
+        directory.on_change(self._drop_gone_endpoints)
 
-    def take(
+    def handle(
         self, endpoint: Endpoint, notice: EndpointNotice, watch: StreamWatch
     ) -> None:
         """Take the notice of one answer.
@@ -53,7 +53,7 @@
         if notice.rest_ms > 0:
             self._client.rest(endpoint.service, endpoint.endpoint_id, notice.rest_ms)
         if notice.is_leaving:
-            self._departures.hear(endpoint)
+            self._departures.announce(endpoint)
         self._log_rejected(endpoint.endpoint_id, notice)
 
     def _log_rejected(self, endpoint_id: str, notice: EndpointNotice) -> None:
@@ -65,9 +65,9 @@
                 events.ENDPOINT_HEADER_REJECTED,
                 endpoint=endpoint_id,
                 header=header,
-                value=value[:_LOGGED_BYTES],
+                value=value[:_MAX_LOGGED_VALUE_CHARS],
             )
 
-    def _forget_gone(self) -> None:
+    def _drop_gone_endpoints(self) -> None:
         for endpoint_id in self._rejected.keys() - self._directory.all.keys():
             del self._rejected[endpoint_id]
--- a/src/pomelolane/platform/host.py
+++ b/src/pomelolane/platform/host.py
@@ -162,12 +162,12 @@
         await meet_others(
             node.member, MEETING_QUIET_MS, MEETING_MS, listed=roster.vm_ids
         )
-        await self._directory.known()
-        await self._current.known()
-        node.take_part()
-        await node.ledger.loaded()
+        await self._directory.wait_until_known()
+        await self._current.wait_until_known()
+        node.join_scheduling()
+        await node.ledger.wait_until_loaded()
         await node.crash_record.loaded()
-        node.take_callers()
+        node.accept_callers()
 
     async def _first_contact(self, roster: VmRoster) -> FirstContact:
         pause_s = _FIRST_PAUSE_S
--- a/tests/steps/forwarding_departures_steps.py
+++ b/tests/steps/forwarding_departures_steps.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 
 from pomelolane.clock import ManualClock
-from pomelolane.forwarding.departures import SaidDepartures
-from pomelolane.forwarding.endpoints import EndpointDirectory, name_of_start
+from pomelolane.forwarding.departures import AnnouncedDepartures
+from pomelolane.forwarding.endpoints import EndpointDirectory, instance_id_of
 from pomelolane.model import Endpoint
 from pomelolane.platform.dialect import PlatformDialect
 
@@ -46,7 +46,7 @@
     context.vms = {}
     for vm in ("first", "second"):
         directory = EndpointDirectory(clock)
-        context.vms[vm] = directory, SaidDepartures(directory, context.marks)
+        context.vms[vm] = directory, AnnouncedDepartures(directory, context.marks)
     _list(context, {name: _endpoint(name, born_ms)})
 
 
@@ -59,14 +59,14 @@
 def step_hears(context, vm, name):
     directory, departures = context.vms[vm]
     endpoint = directory.all[name]
-    departures.hear(endpoint)
-    departures.hear(endpoint)
+    departures.announce(endpoint)
+    departures.announce(endpoint)
 
 
 @when('the {vm} VM is told that "{name}", started at {born_ms:d}, leaves')
 def step_told(context, vm, name, born_ms):
     del vm
-    context.marks.mark_leaving(name_of_start(_endpoint(name, born_ms)), "another")
+    context.marks.mark_leaving(instance_id_of(_endpoint(name, born_ms)), "another")
 
 
 @when("the registry lists nothing")
--- a/tests/steps/platform_sharing_steps.py
+++ b/tests/steps/platform_sharing_steps.py
@@ -94,7 +94,7 @@
     tasks = [context.loop.create_task(watch.run()) for watch in watches]
     context.add_cleanup(lambda: context.run(end(context.vms.values(), tasks)))
     for vm in context.vms.values():
-        context.run(asyncio.wait_for(vm.directory.known(), 5))
+        context.run(asyncio.wait_for(vm.directory.wait_until_known(), 5))
 
 
 async def end(vms, tasks):
--- a/tests/steps/platform_watching_steps.py
+++ b/tests/steps/platform_watching_steps.py
@@ -50,8 +50,8 @@
         context.loop.create_task(watch.run()),
     ]
     context.add_cleanup(lambda: context.run(_end(context.tasks)))
-    context.run(asyncio.wait_for(context.directory.known(), 5))
-    context.run(asyncio.wait_for(context.current.known(), 5))
+    context.run(asyncio.wait_for(context.directory.wait_until_known(), 5))
+    context.run(asyncio.wait_for(context.current.wait_until_known(), 5))
 
 
 async def _end(tasks):
