--- a/src/pomelolane/forwarding/call.py
+++ b/src/pomelolane/forwarding/call.py
@@ -56,7 +56,7 @@
         """The id that callers know."""
         return self.description.request_id or self.local_id
 
-    def left_ms(self, now_ms: float) -> float:
+    def remaining_ms(self, now_ms: float) -> float:
         """Return the time until the final answer is due."""
         return self.limit_ms - (now_ms - self.accepted_ms)
 
--- a/src/pomelolane/forwarding/failures.py
+++ b/src/pomelolane/forwarding/failures.py
@@ -1,15 +1,15 @@
-"""What became of a send that did not bring the whole answer, and what it means.
+"""Classifies sends that failed to bring a complete answer.
 
-A send that the endpoint has certainly not begun leaves the request as it was; any other
-may have run.
+A request that the endpoint certainly has not begun can be sent again like a new one.
+After any other failure it may have run.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from pomelolane.forwarding import journal
-from pomelolane.forwarding.refusals import truthful
+from pomelolane.forwarding import request_log
+from pomelolane.forwarding.refusals import refusal_after_sends
 from pomelolane.outcomes import Outcome, Reason, Refusal
 
 if TYPE_CHECKING:
@@ -19,62 +19,66 @@
     from pomelolane.forwarding.stall import StallWatch
 
 RETRY_AFTER_MS = 300
-"""When to come back after an endpoint has refused: about a request's time."""
+"""Retry delay after an endpoint refused: about the duration of a request."""
 
 
-class AgainSignal(Exception):  # noqa: N818  (a signal, not an error)
+class RetrySignal(Exception):  # noqa: N818  (a signal, not an error)
     """The request may be tried at another endpoint.
 
     Attributes:
-        refusal: What the caller hears if it is not.
-        is_paid: Whether the repeat is counted against the budget already.
+        refusal: Answer for the caller if the request is not tried again.
+        is_charged: Whether the retry is already charged to the retry budget.
     """
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
         self.refusal = refusal
-        self.is_paid = False
+        self.is_charged = False
 
 
-def not_taken(state: CallState, watch: StreamWatch, detail: str) -> AgainSignal:
-    """Judge a send that the endpoint has certainly not begun."""
+def refused_by_endpoint(
+    state: CallState, watch: StreamWatch, detail: str
+) -> RetrySignal:
+    """Record a send that the endpoint certainly has not begun to run."""
     state.excluded += (state.endpoint_id,)
     watch.finish(refused=True, outcome=Outcome.NOT_RUN)
     return _failed(state, Reason.ENDPOINT_REFUSED, detail)
 
 
-def broken(state: CallState, watch: StreamWatch, detail: str) -> AgainSignal:
-    """Judge a send that the endpoint may have begun."""
+def broken_by_endpoint(
+    state: CallState, watch: StreamWatch, detail: str
+) -> RetrySignal:
+    """Record a failed send that the endpoint may have begun to run."""
     state.excluded += (state.endpoint_id,)
     watch.finish(outcome=Outcome.FAILED)
     return _failed(state, Reason.ENDPOINT_BROKEN, detail)
 
 
-def cut_short(
+def incomplete_answer(
     state: CallState,
     watch: StreamWatch,
     stream: AnswerStream,
     stall: StallWatch | None,
-) -> AgainSignal:
-    """Judge an answer that has ended before it was whole."""
-    if stall is None or not stall.has_left:
-        return broken(state, watch, str(stream.error))
-    again = broken(state, watch, "the stream fell silent")
-    again.is_paid = True
-    return again
+) -> RetrySignal:
+    """Record an answer that ended or was abandoned before it was complete."""
+    if stall is None or not stall.has_abandoned:
+        return broken_by_endpoint(state, watch, str(stream.error))
+    retry = broken_by_endpoint(state, watch, "the stream stalled")
+    retry.is_charged = True
+    return retry
 
 
 def timed_out(state: CallState) -> Refusal:
-    """Return what the caller hears when its time is over."""
+    """Return the refusal of a request whose time limit has passed."""
     refusal = Refusal(
         Outcome.NOT_RUN,
         Reason.DEADLINE_PASSED,
         RETRY_AFTER_MS,
         "the time allowed has passed",
     )
-    return truthful(state, refusal)
+    return refusal_after_sends(state, refusal)
 
 
-def _failed(state: CallState, reason: Reason, detail: str) -> AgainSignal:
-    journal.failed(state, reason, detail)
-    return AgainSignal(Refusal(Outcome.NOT_RUN, reason, RETRY_AFTER_MS, detail))
+def _failed(state: CallState, reason: Reason, detail: str) -> RetrySignal:
+    request_log.failed(state, reason, detail)
+    return RetrySignal(Refusal(Outcome.NOT_RUN, reason, RETRY_AFTER_MS, detail))
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-"""The life of a forwarded request: check, wait for a slot, send, relay, end.
+"""Forwards a request: checks it, waits for a slot, sends it and relays the answer.
 
-Nothing else sends callers' requests to endpoints. What an endpoint may have
-begun is noted before the first byte leaves, and never taken back but by the
-endpoint's own word.
+This is the only code that sends callers' requests to endpoints. A request is recorded
+as possibly run before its first byte is sent; this is undone only if the connection was
+closed before the write or the endpoint reports that it did not run the request.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
     EndpointBrokenError,
     EndpointRefusedError,
 )
-from pomelolane.forwarding import journal, metrics
+from pomelolane.forwarding import metrics, request_log
 from pomelolane.forwarding.call import CallState
 from pomelolane.forwarding.failures import (
-    AgainSignal,
-    broken,
-    cut_short,
-    not_taken,
+    RetrySignal,
+    broken_by_endpoint,
+    incomplete_answer,
+    refused_by_endpoint,
     timed_out,
 )
-from pomelolane.forwarding.handles import handle_from_state
-from pomelolane.forwarding.patience import (
-    SilentEndpointError,
-    patience_ms,
-    wait_patiently,
+from pomelolane.forwarding.first_byte import (
+    FirstByteTimeoutError,
+    first_byte_timeout_ms,
+    wait_for_first_byte,
 )
+from pomelolane.forwarding.handles import handle_from_state
 from pomelolane.forwarding.refusals import (
     answer_refusal,
+    refusal_after_sends,
     refusal_from_error,
-    truthful,
 )
 from pomelolane.forwarding.relay import Relay
 from pomelolane.forwarding.stall import StallWatch
@@ -55,54 +55,56 @@
     from pomelolane.forwarding.endpoints import EndpointDirectory
     from pomelolane.forwarding.intake import Intake
     from pomelolane.forwarding.notices import NoticeHandler
-    from pomelolane.forwarding.sender import Sender, Sent
+    from pomelolane.forwarding.sender import Sender, SendResult
     from pomelolane.http.exchange import Exchange
     from pomelolane.model import Endpoint
     from pomelolane.ports import Clock, Grant, SchedulerClient
     from pomelolane.quarantine import CrashWatch, Quarantine
 
 MAX_TRIES = 6
-"""Grants that one request may ask for; refused connections cost no send."""
+"""Most grants that one request asks for. Refused connections use up grants, but are not
+counted as sends."""
 
-STALL_FACTOR = 2.5
-"""Times the pause that still counts as on time after which a stream is left: slow
-engines pause 1.7 times as long beside long prompts (Cedarline, scale-1), and callers
-leave after eight times."""
+STALL_GAP_FACTOR = 2.5
+"""Silence after which a stream is abandoned, as a multiple of the route's `gap_ms`.
+Slow engines pause up to 1.7 times as long beside long prompts, and callers disconnect
+after eight times."""
 
-SKIPPED_BODY_BYTES = 1024 * 1024
-"""Most of a refused body that is read so that its caller sees the answer."""
+MAX_SKIPPED_BODY_BYTES = 1024 * 1024
+"""Most bytes of a rejected request's body that are read, so that the caller reads the
+answer."""
 
-SKIPPED_BODY_MS = 200
-"""Longest time for that."""
+SKIP_BODY_TIMEOUT_MS = 200
+"""Longest time for which the body of a rejected request is read."""
 
-_REDIRECTION = 300
-_SERVER_ERROR = 500
+_FIRST_REDIRECTION_STATUS = 300
+_FIRST_SERVER_ERROR_STATUS = 500
 STOPPING_RETRY_MS = 50
-"""When to come back to a stopping VM's neighbours: at once."""
+"""Retry delay for callers of a stopping VM: other VMs can serve them at once."""
 
 _DELIVERED = "delivered"
 
 
-STOPPING = Refusal(
+STOPPING_REFUSAL = Refusal(
     Outcome.NOT_RUN, Reason.NOT_READY, STOPPING_RETRY_MS, "the VM is stopping"
 )
-"""What a stopping VM answers to what it may not be able to finish."""
+"""Answer of a stopping VM to requests that it may not be able to finish."""
 
 
 class Forwarder:
-    """Serves callers of routed services.
+    """Forwards callers' requests to endpoints of routed services.
 
     Args:
         intake: Checks requests.
-        client: Where slots come from.
-        sender: Writes to endpoints.
-        directory: Endpoints as known here.
-        notices: Takes what endpoints say of themselves.
-        make_budget: Makes a service's budget of repeated sends.
-        quarantine: Requests that no endpoint may get.
-        crashes: Looks after endpoints whose connections broke.
-        clock: Time.
-        data_centre: Where this VM stands.
+        client: Gets grants of endpoint slots from the schedulers.
+        sender: Sends requests to endpoints.
+        directory: Known endpoints.
+        notice_handler: Handles notices that endpoints add to their answers.
+        make_budget: Creates the retry budget of a service.
+        quarantine: Requests that must not be sent to any endpoint.
+        crashes: Checks whether endpoints with broken connections have crashed.
+        clock: Source of the current time.
+        data_centre: Data centre of this VM.
     """
 
     def __init__(
@@ -134,71 +136,78 @@
         self.timeouts = Timeouts(clock)
         self.draining = False
         self._stop_at_ms = math.inf
-        self._takes_more = True
+        self._accepts_short_requests = True
         self._ended = asyncio.Event()
 
-    def stop_by(self, at_ms: float) -> None:
-        """Take only what can be finished until then."""
+    def set_stop_time(self, at_ms: float) -> None:
+        """Accept only requests that can be finished before this time."""
         self._stop_at_ms = at_ms
 
     async def finish(self) -> None:
-        """Return when what was open is done; what comes meanwhile is short."""
-        before = set(self.open_calls)
-        while before & self.open_calls.keys():
-            await self._next_end()
-        self._takes_more = False
+        """Wait until all requests have ended, then accept no more.
+
+        While the open requests run, new ones that end before the stop time are still
+        accepted.
+        """
+        open_at_start = set(self.open_calls)
+        while open_at_start & self.open_calls.keys():
+            await self._wait_for_next_end()
+        self._accepts_short_requests = False
         while self.open_calls:
-            await self._next_end()
+            await self._wait_for_next_end()
 
-    async def _next_end(self) -> None:
+    async def _wait_for_next_end(self) -> None:
         self._ended.clear()
         await self._ended.wait()
 
-    def may_take(self, limit_ms: float) -> bool:
-        """Tell whether a request that may last so long surely ends before a stop."""
+    def can_accept(self, limit_ms: float) -> bool:
+        """Return whether a request with this time limit ends before the stop time."""
         if math.isinf(self._stop_at_ms):
             return True
-        return self._takes_more and self._clock.now_ms() + limit_ms < self._stop_at_ms
+        return (
+            self._accepts_short_requests
+            and self._clock.now_ms() + limit_ms < self._stop_at_ms
+        )
 
     async def serve(self, exchange: Exchange) -> None:
-        """Serve one exchange to its end."""
+        """Serve one exchange until it is answered or its caller has disconnected."""
         task = asyncio.current_task()
         try:
             call = await self._intake.take(exchange)
         except BadRequestError as error:
-            await self._turn_away(exchange, error)
+            await self._reject(exchange, error)
             return
         exchange.watch_disconnect(task.cancel)
         state = CallState(call, last_event_id=call.description.resume_after)
         self.open_calls[call.local_id] = state
-        journal.accepted(call)
+        request_log.accepted(call)
         try:
             await self._serve(state, exchange)
         except asyncio.CancelledError:
             if not exchange.gone:
                 raise
             task.uncancel()
-            journal.abandoned(state, self._clock.now_ms())
+            request_log.abandoned(state, self._clock.now_ms())
         finally:
             del self.open_calls[call.local_id]
             self._ended.set()
 
-    async def _turn_away(self, exchange: Exchange, error: BadRequestError) -> None:
+    async def _reject(self, exchange: Exchange, error: BadRequestError) -> None:
         refusal = refusal_from_error(error)
         log_event(events.BAD_INPUT, reason=refusal.reason, status=error.status)
         metrics.count_end("", "", 0, refusal.outcome.value, refusal.reason.value)
-        await exchange.skip_body(SKIPPED_BODY_BYTES, SKIPPED_BODY_MS)
+        await exchange.skip_body(MAX_SKIPPED_BODY_BYTES, SKIP_BODY_TIMEOUT_MS)
         await answer_refusal(exchange, refusal, "", closes=self.draining)
 
     async def _serve(self, state: CallState, exchange: Exchange) -> None:
         call = state.call
         relay = Relay(exchange, state, self._clock, closes=self.draining)
-        if not self.may_take(call.limit_ms):
-            await self._refuse(state, exchange, STOPPING)
+        if not self.can_accept(call.limit_ms):
+            await self._refuse(state, exchange, STOPPING_REFUSAL)
             return
         self._budget(call.service).earn()
         try:
-            async with self.timeouts.after(self._left_ms(call)):
+            async with self.timeouts.after(self._remaining_ms(call)):
                 refusal = await self._run(state, relay)
         except TimeoutError:
             refusal = timed_out(state)
@@ -212,16 +221,16 @@
         while True:
             grant = await self._acquire(state)
             if isinstance(grant, Refusal):
-                return truthful(state, grant)
+                return refusal_after_sends(state, grant)
             state.tries += 1
             watch = StreamWatch(self._client, grant, self._clock)
             try:
                 await self._attempt(state, relay, grant, watch)
-            except AgainSignal as again:
-                if not again.is_paid and not self._may_repeat(state):
-                    return truthful(state, again.refusal)
+            except RetrySignal as retry:
+                if not retry.is_charged and not self._reserve_retry(state):
+                    return refusal_after_sends(state, retry.refusal)
                 balance = self._budget(state.call.service).balance
-                journal.retried(state, again.refusal, balance)
+                request_log.retried(state, retry.refusal, balance)
                 continue
             finally:
                 watch.finish()
@@ -239,107 +248,108 @@
     async def _attempt(
         self, state: CallState, relay: Relay, grant: Grant, watch: StreamWatch
     ) -> None:
-        """Send to one endpoint and relay its answer.
+        """Send the request to one endpoint and relay its answer.
 
         Raises:
-            AgainSignal: It gave no answer that the caller has seen the end of.
+            RetrySignal: The caller did not get a complete answer.
+            TimeoutError: The request's time limit has passed.
         """
         call = state.call
         endpoint = self._directory.usable(grant.endpoint_id)
         state.endpoint_id = grant.endpoint_id
         if endpoint is None:
-            raise not_taken(state, watch, "the endpoint is leaving")
+            raise refused_by_endpoint(state, watch, "the endpoint is leaving")
         try:
             connection = await self._sender.connect(endpoint)
         except EndpointRefusedError as error:
-            raise not_taken(state, watch, str(error)) from error
-        left_ms = int(self._left_ms(call))
-        if left_ms <= 0:
+            raise refused_by_endpoint(state, watch, str(error)) from error
+        remaining_ms = int(self._remaining_ms(call))
+        if remaining_ms <= 0:
             raise TimeoutError
         state.run = self._crashes.begin(call.fingerprint, endpoint)
         may_have_run, state.may_have_run = state.may_have_run, True
         state.sends += 1
         watch.dispatched()
-        journal.sent(
-            state, grant, left_ms, self._clock.now_ms(), self._directory.age_ms
+        request_log.sent(
+            state, grant, remaining_ms, self._clock.now_ms(), self._directory.age_ms
         )
-        dispatch = Dispatch(call.organisation, left_ms, state.last_event_id)
+        dispatch = Dispatch(call.organisation, remaining_ms, state.last_event_id)
         sending = self._sender.send(connection, call, endpoint, dispatch)
         try:
-            sent = await wait_patiently(
+            sent = await wait_for_first_byte(
                 sending,
-                self._patience_ms(state, grant),
-                lambda: self._may_repeat(state),
+                self._first_byte_timeout_ms(state, grant),
+                lambda: self._reserve_retry(state),
             )
         except EndpointRefusedError as error:
             state.run.settle()
             state.may_have_run = may_have_run
             state.sends -= 1
-            raise not_taken(state, watch, str(error)) from error
-        except SilentEndpointError as error:
-            again = broken(state, watch, str(error))
-            again.is_paid = True
-            raise again from error
+            raise refused_by_endpoint(state, watch, str(error)) from error
+        except FirstByteTimeoutError as error:
+            retry = broken_by_endpoint(state, watch, str(error))
+            retry.is_charged = True
+            raise retry from error
         except EndpointBrokenError as error:
-            again = broken(state, watch, str(error))
+            retry = broken_by_endpoint(state, watch, str(error))
             await state.run.broke()
-            raise again from error
+            raise retry from error
         self._notice_handler.handle(endpoint, sent.notice, watch)
         if sent.verdict is Verdict.NOT_RUN:
             state.run.settle()
             state.may_have_run = may_have_run
             await sent.stream.aclose()
-            raise not_taken(state, watch, "the endpoint did not run it")
-        await self._pass_on(state, relay, sent, watch, endpoint)
+            raise refused_by_endpoint(state, watch, "the endpoint did not run it")
+        await self._relay_answer(state, relay, sent, watch, endpoint)
 
-    def _patience_ms(self, state: CallState, grant: Grant) -> float | None:
+    def _first_byte_timeout_ms(self, state: CallState, grant: Grant) -> float | None:
         objective_ms = state.call.route.objective_ms
-        if not objective_ms or not self._can_repeat(state):
+        if not objective_ms or not self._can_retry(state):
             return None
-        return patience_ms(grant.expected_ttft_ms, objective_ms)
+        return first_byte_timeout_ms(grant.expected_ttft_ms, objective_ms)
 
-    async def _pass_on(
+    async def _relay_answer(
         self,
         state: CallState,
         relay: Relay,
-        sent: Sent,
+        sent: SendResult,
         watch: StreamWatch,
         endpoint: Endpoint,
     ) -> None:
         stream = sent.stream
-        failed = stream.status >= _SERVER_ERROR
+        failed = stream.status >= _FIRST_SERVER_ERROR_STATUS
         stall = self._stall_watch(state, stream)
         try:
-            if failed and self._may_repeat(state):
-                # It has answered: its service fails, the endpoint is there.
+            if failed and self._reserve_retry(state):
+                # The endpoint answered, so it has not crashed; its service failed.
                 state.run.settle()
                 watch.first()
                 detail = f"the endpoint answered {stream.status}"
-                again = broken(state, watch, detail)
-                again.is_paid = True
-                raise again
+                retry = broken_by_endpoint(state, watch, detail)
+                retry.is_charged = True
+                raise retry
             await stream.wait()
             if not stream.is_broken_unread:
                 watch.first()
-                self._observe_first(state)
-            end = await relay.pass_on(stream, watch.progress, stall)
+                self._observe_first_byte(state)
+            end = await relay.relay(stream, watch.progress, stall)
         finally:
             if stall is not None:
                 stall.stop()
             await stream.aclose()
-        if not end.whole:
-            again = cut_short(state, watch, stream, stall)
-            if not again.is_paid:
+        if not end.is_complete:
+            retry = incomplete_answer(state, watch, stream, stall)
+            if not retry.is_charged:
                 await self._crashes.look(
                     state.call.fingerprint, endpoint, endpoint.address
                 )
-            raise again
+            raise retry
         state.run.settle()
         if failed:
             watch.finish(outcome=Outcome.FAILED)
-        elif stream.status < _REDIRECTION:
+        elif stream.status < _FIRST_REDIRECTION_STATUS:
             self._quarantine.answered(state.call.fingerprint)
-        journal.finished(
+        request_log.finished(
             state.call,
             endpoint,
             stream.status,
@@ -349,23 +359,23 @@
         )
 
     def _stall_watch(self, state: CallState, stream: AnswerStream) -> StallWatch | None:
-        """Return what watches a stream that may be resumed, None for others."""
+        """Return a watch for a resumable stream, None for other streams."""
         route = state.call.route
         if not route.is_resumable or not route.gap_ms:
             return None
 
-        def leave() -> bool:
-            if not self._may_repeat(state):
+        def abandon() -> bool:
+            if not self._reserve_retry(state):
                 return False
             stream.cut()
             return True
 
-        return StallWatch(STALL_FACTOR * route.gap_ms, leave, self._clock)
+        return StallWatch(STALL_GAP_FACTOR * route.gap_ms, abandon, self._clock)
 
-    # --- what went wrong ----------------------------------------------------
+    # --- retries and refusals -----------------------------------------------
 
-    def _can_repeat(self, state: CallState) -> bool:
-        """Tell whether another endpoint may be asked, budget aside."""
+    def _can_retry(self, state: CallState) -> bool:
+        """Return whether the request may be sent again, regardless of the budget."""
         call = state.call
         if state.tries >= MAX_TRIES or state.sends >= call.route.attempts:
             return False
@@ -373,11 +383,11 @@
             return False
         return not state.answer_begun or call.route.is_resumable
 
-    def _may_repeat(self, state: CallState) -> bool:
-        """Tell whether another endpoint may be asked, and pay for it."""
-        if not self._can_repeat(state):
+    def _reserve_retry(self, state: CallState) -> bool:
+        """Return whether the request may be sent again, and charge the retry budget."""
+        if not self._can_retry(state):
             return False
-        # A send that reached no endpoint costs nothing of the budget.
+        # Attempts that reached no endpoint are not charged to the budget.
         return state.sends == 0 or self._budget(state.call.service).spend()
 
     async def _refuse(
@@ -386,18 +396,19 @@
         held_ms = self._clock.now_ms() - state.call.accepted_ms
         status = 0
         if state.answer_begun:
-            # The head is out: only a visible break tells the truth now.
+            # The status is already sent, so closing the connection is the only way to
+            # signal the failure.
             exchange.abort()
         else:
             status = await answer_refusal(
                 exchange, refusal, state.call.log_id, closes=self.draining
             )
-        journal.refused(state, refusal, status, held_ms)
+        request_log.refused(state, refusal, status, held_ms)
 
     # --- helpers --------------------------------------------------------------
 
-    def _left_ms(self, call: ForwardCall) -> float:
-        return call.left_ms(self._clock.now_ms())
+    def _remaining_ms(self, call: ForwardCall) -> float:
+        return call.remaining_ms(self._clock.now_ms())
 
     def _budget(self, service: str) -> SharedRetryBudget:
         budget = self._budgets.get(service)
@@ -405,7 +416,7 @@
             budget = self._budgets[service] = self._make_budget()
         return budget
 
-    def _observe_first(self, state: CallState) -> None:
+    def _observe_first_byte(self, state: CallState) -> None:
         call = state.call
         first_ms = self._clock.now_ms() - call.accepted_ms
         objective_ms = call.route.objective_ms
--- a/src/pomelolane/forwarding/handles.py
+++ b/src/pomelolane/forwarding/handles.py
@@ -24,7 +24,7 @@
     """
     call = state.call
     described = call.description
-    left_ms = max(0, int(call.left_ms(now_ms)))
+    remaining_ms = max(0, int(call.remaining_ms(now_ms)))
     objective_ms = min(call.route.objective_ms or call.limit_ms, call.limit_ms)
     late_window_ms = call.limit_ms - objective_ms
     patience_ms = call.route.patience_ms
@@ -34,7 +34,7 @@
         # Its caller holds a part of it: it goes before new ones of its rank, and is
         # not refused early.
         objective_ms = patience_ms = 0
-        late_window_ms = max(0, left_ms - RESUME_MS)
+        late_window_ms = max(0, remaining_ms - RESUME_MS)
     return Handle(
         request_id=f"{call.local_id}.{state.tries}",
         service=call.service,
@@ -42,7 +42,7 @@
         tier_rank=call.rank,
         organisation=call.organisation,
         team="",
-        budget_ms=left_ms,
+        budget_ms=remaining_ms,
         prefill_tokens=described.prompt_tokens,
         decode_tokens=described.answer_hint_tokens or described.answer_limit_tokens,
         data_centre=data_centre,
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -288,10 +288,10 @@
 
     async def finish(self, listener: Listener) -> None:
         """Finish what was accepted, in the time allowed."""
-        left_ms = self._options.grace_ms - BALANCER_NOTICE_MS - EXIT_RESERVE_MS
-        self.forwarder.stop_by(self._clock.now_ms() + left_ms)
+        remaining_ms = self._options.grace_ms - BALANCER_NOTICE_MS - EXIT_RESERVE_MS
+        self.forwarder.set_stop_time(self._clock.now_ms() + remaining_ms)
         try:
-            async with asyncio.timeout(left_ms / 1000):
+            async with asyncio.timeout(remaining_ms / 1000):
                 await self.forwarder.finish()
                 await listener.stop()
         except TimeoutError:
--- a/src/pomelolane/forwarding/refusals.py
+++ b/src/pomelolane/forwarding/refusals.py
@@ -1,7 +1,6 @@
-"""The gateway's own final answers: what is refused or failed, and why.
+"""Answers that the gateway itself gives to refused and failed requests.
 
-Statuses that promise "not run" are given only to requests that no endpoint can
-have begun.
+Statuses that mean "not run" are used only for requests that no endpoint can have begun.
 """
 
 from __future__ import annotations
@@ -26,20 +25,23 @@
     Reason.LIMIT_GUESSED,
     Reason.CONCURRENCY_LIMIT,
 )
-_TRUE_AFTER_A_RUN = (Reason.DEADLINE_PASSED, Reason.CRASHES_ENDPOINTS)
+_REASONS_KEPT_AFTER_SEND = (Reason.DEADLINE_PASSED, Reason.CRASHES_ENDPOINTS)
 """Reasons that hold whether or not an endpoint has begun the request."""
 
 NOT_READY_RETRY_MS = 500
-"""When to come back to a VM that knows no configuration yet."""
+"""Retry delay for callers of a VM that has no configuration yet."""
 
 
-def truthful(state: CallState, refusal: Refusal) -> Refusal:
-    """Return a refusal that is true of what happened to the request."""
+def refusal_after_sends(state: CallState, refusal: Refusal) -> Refusal:
+    """Return the refusal with its outcome adjusted to the sends made so far.
+
+    If an endpoint may have run the request, the outcome is unknown.
+    """
     if not state.may_have_run:
         return refusal
     outcome = Outcome.UNKNOWN
     reason = refusal.reason
-    if reason not in _TRUE_AFTER_A_RUN:
+    if reason not in _REASONS_KEPT_AFTER_SEND:
         reason = Reason.ENDPOINT_BROKEN
     return Refusal(outcome, reason, 0, refusal.detail)
 
@@ -52,7 +54,7 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Return the HTTP status that says neither more nor less than is known."""
+    """Return the HTTP status of a refusal."""
     if refusal.outcome is not Outcome.NOT_RUN:
         return 504 if refusal.reason is Reason.DEADLINE_PASSED else 502
     if refusal.reason in _LIMITS:
@@ -65,12 +67,12 @@
 async def answer_refusal(
     exchange: Exchange, refusal: Refusal, request_id: str, *, closes: bool
 ) -> int:
-    """Answer a caller at once and return the status."""
+    """Send a refusal to the caller and return its HTTP status."""
     status = status_of(refusal)
     problem = problem_from_refusal(refusal, request_id)
     headers = [(b"content-type", PROBLEM_TYPE)]
     if refusal.retry_after_ms > 0 and refusal.outcome is Outcome.NOT_RUN:
-        # Callers of these routes read fractions of a second.
+        # Callers of these routes accept fractions of a second in Retry-After.
         seconds = f"{refusal.retry_after_ms / 1000:.2f}"
         headers.append((b"retry-after", seconds.encode()))
     if status == 401:
--- a/src/pomelolane/forwarding/relay.py
+++ b/src/pomelolane/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""Passes an endpoint's answer on to the caller, unchanged and as it comes."""
+"""Relays an endpoint's answer to the caller, unchanged and without buffering."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayEnd:
-    """How an answer ended.
+class RelayResult:
+    """Result of relaying one answer.
 
     Attributes:
-        whole: Whether all of it came and was passed on.
-        bytes: Body bytes passed on.
-        events: Pieces passed on.
-        gap_ms: Longest pause between two pieces.
+        is_complete: Whether the whole answer was relayed.
+        bytes: Number of body bytes relayed.
+        chunks: Number of chunks relayed.
+        gap_ms: Longest pause between two chunks.
     """
 
-    whole: bool
+    is_complete: bool
     bytes: int
-    events: int
+    chunks: int
     gap_ms: float
 
 
 async def _read(stream: AnswerStream, stall: StallWatch | None) -> bytes:
-    """Return the bytes that are ready, nothing at the end."""
+    """Return the bytes that are ready, or empty bytes at the end of the stream."""
     if stall is None:
         return await stream.read_ready()
     stall.begin_read()
@@ -46,43 +46,46 @@
     return data
 
 
-class EventCutter:
-    """Cuts a stream of events behind its last whole one.
+class CompleteEventBuffer:
+    """Holds back the incomplete last event of a stream of server-sent events.
 
-    What a broken stream leaves of an event must not reach the caller if the
-    stream goes on elsewhere.
+    If the stream breaks and is resumed at another endpoint, the caller must not get the
+    beginning of an event twice.
+
+    Attributes:
+        last_id: Id of the last complete event.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
         self.last_id = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return what ends with a whole event, and keep the rest."""
-        self._rest += data
-        end = self._rest.rfind(_EVENT_END)
+        """Add data, and return all complete events not returned before."""
+        self._incomplete += data
+        end = self._incomplete.rfind(_EVENT_END)
         if end < 0:
             return b""
-        whole = self._rest[: end + len(_EVENT_END)]
-        self._rest = self._rest[len(whole) :]
-        self._note_id(whole)
-        return whole
+        complete = self._incomplete[: end + len(_EVENT_END)]
+        self._incomplete = self._incomplete[len(complete) :]
+        self._update_last_id(complete)
+        return complete
 
-    def _note_id(self, whole: bytes) -> None:
-        for line in reversed(whole.split(b"\n")):
+    def _update_last_id(self, complete: bytes) -> None:
+        for line in reversed(complete.split(b"\n")):
             if line.startswith(_EVENT_ID):
                 self.last_id = line[len(_EVENT_ID) :].strip()
                 return
 
 
 class Relay:
-    """Relays the answers of one request's sends as one answer.
+    """Relays the answers to all sends of one request as a single answer.
 
     Args:
         exchange: The caller's exchange.
-        state: The request.
-        clock: Time.
-        closes: Whether the caller's connection ends with the answer.
+        state: State of the request.
+        clock: Source of the current time.
+        closes: Whether to close the caller's connection after the answer.
     """
 
     def __init__(
@@ -94,41 +97,43 @@
         self._closes = closes
         self._resumable = state.call.route.is_resumable
 
-    async def pass_on(
+    async def relay(
         self,
         stream: AnswerStream,
-        on_piece: Callable[[int], None],
+        on_chunk: Callable[[int], None],
         stall: StallWatch | None = None,
-    ) -> RelayEnd:
-        """Pass an answer on; the head goes out with the first bytes.
+    ) -> RelayResult:
+        """Relay an answer; its head is sent together with the first bytes of the body.
 
         Args:
             stream: The endpoint's answer.
-            on_piece: Called with the number of pieces so far.
-            stall: Watches for silence, where the answer may go on elsewhere.
+            on_chunk: Called with the number of chunks relayed so far.
+            stall: Abandons the stream if it stalls, None if it can't be resumed.
         """
-        cutter = EventCutter() if self._resumable else None
-        size = pieces = 0
+        event_buffer = CompleteEventBuffer() if self._resumable else None
+        size = chunks = 0
         gap_ms = last_ms = 0.0
         while data := await _read(stream, stall):
-            if cutter is not None:
-                data = cutter.feed(data)
+            if event_buffer is not None:
+                data = event_buffer.feed(data)
                 if not data:
                     continue
-                self._state.last_event_id = cutter.last_id or self._state.last_event_id
+                self._state.last_event_id = (
+                    event_buffer.last_id or self._state.last_event_id
+                )
             await self._begin(stream)
             await self._send_body(data, more=True)
             size += len(data)
-            pieces += 1
-            on_piece(pieces)
+            chunks += 1
+            on_chunk(chunks)
             now_ms = self._clock.now_ms()
-            gap_ms = max(gap_ms, now_ms - last_ms) if pieces > 1 else 0.0
+            gap_ms = max(gap_ms, now_ms - last_ms) if chunks > 1 else 0.0
             last_ms = now_ms
         if stream.error is not None:
-            return RelayEnd(False, size, pieces, gap_ms)
+            return RelayResult(False, size, chunks, gap_ms)
         await self._begin(stream)
         await self._send_body(b"", more=False)
-        return RelayEnd(True, size, pieces, gap_ms)
+        return RelayResult(True, size, chunks, gap_ms)
 
     async def _begin(self, stream: AnswerStream) -> None:
         if self._state.answer_begun:
--- a/src/pomelolane/forwarding/journal.py
+++ b/src/pomelolane/forwarding/request_log.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from pomelolane.forwarding.call import CallState, ForwardCall
-    from pomelolane.forwarding.relay import RelayEnd
+    from pomelolane.forwarding.relay import RelayResult
     from pomelolane.model import Endpoint
     from pomelolane.outcomes import Refusal
     from pomelolane.ports import Grant
@@ -39,7 +39,7 @@
 
 
 def sent(
-    state: CallState, grant: Grant, left_ms: int, now_ms: float, list_age_ms: float
+    state: CallState, grant: Grant, remaining_ms: int, now_ms: float, list_age_ms: float
 ) -> None:
     """Tell that a request leaves for an endpoint."""
     log_event(
@@ -50,7 +50,7 @@
         send=state.sends,
         waited_ms=now_ms - state.call.accepted_ms,
         expected_ms=grant.expected_ttft_ms,
-        left_ms=left_ms,
+        left_ms=remaining_ms,
         list_age_ms=list_age_ms,
     )
 
@@ -60,7 +60,7 @@
     endpoint: Endpoint,
     status: int,
     first_ms: float,
-    end: RelayEnd,
+    result: RelayResult,
     now_ms: float,
 ) -> None:
     """Tell that a whole answer went to the caller."""
@@ -72,9 +72,9 @@
         status=status,
         first_ms=first_ms,
         total_ms=now_ms - call.accepted_ms,
-        pieces=end.events,
-        gap_ms=end.gap_ms,
-        bytes=end.bytes,
+        pieces=result.chunks,
+        gap_ms=result.gap_ms,
+        bytes=result.bytes,
     )
 
 
--- a/src/pomelolane/forwarding/sender.py
+++ b/src/pomelolane/forwarding/sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to one endpoint and judges the head of its answer."""
+"""Sends a request to an endpoint and classifies the head of the answer."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     Header = tuple[bytes, bytes]
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
-_FORBIDDEN = frozenset(b"\r\n\0")
+_FORBIDDEN_HEADER_BYTES = frozenset(b"\r\n\0")
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """A request that an endpoint has answered with a head.
+class SendResult:
+    """Answer to a request whose head has been received.
 
     Attributes:
         stream: The answer.
-        verdict: What its head is worth.
-        notice: What the endpoint says of itself in it.
+        verdict: Classification of the head.
+        notice: What the endpoint reports about itself in the headers.
     """
 
     stream: AnswerStream
@@ -39,11 +39,11 @@
 
 
 class Sender:
-    """Writes requests to endpoints.
+    """Sends requests to endpoints.
 
     Args:
         pool: Connections to endpoints.
-        dialect: Names of headers.
+        dialect: Writes and reads the platform's headers.
     """
 
     def __init__(self, pool: ConnectionPool, dialect: Dialect) -> None:
@@ -51,10 +51,10 @@
         self._dialect = dialect
 
     async def connect(self, endpoint: Endpoint) -> HttpConnection:
-        """Return a connection; the caller sends before it awaits anything else.
+        """Return a connection, on which to send before awaiting anything else.
 
         Raises:
-            EndpointRefusedError: None could be made.
+            EndpointRefusedError: No connection could be made.
         """
         return await self._pool.acquire(endpoint.address)
 
@@ -64,7 +64,7 @@
         call: ForwardCall,
         endpoint: Endpoint,
         dispatch: Dispatch,
-    ) -> Sent:
+    ) -> SendResult:
         """Send a request and wait for the head of its answer.
 
         Raises:
@@ -82,16 +82,16 @@
         if verdict in (Verdict.FOREIGN, Verdict.INVALID):
             await stream.aclose()
             connection.discard()
-            raise EndpointBrokenError(f"the answer's head is {verdict.value}")
+            raise EndpointBrokenError(f"the head of the answer is {verdict.value}")
         notice = self._dialect.read_notice(stream.status, stream.headers)
-        return Sent(stream, verdict, notice)
+        return SendResult(stream, verdict, notice)
 
 
 def _head(call: ForwardCall, headers: Sequence[Header]) -> bytes:
     lines = [call.method.encode("ascii") + b" " + call.target + b" HTTP/1.1"]
     for name, value in headers:
-        if not _FORBIDDEN.isdisjoint(value):
-            raise EndpointRefusedError("a header holds a control byte")
+        if not _FORBIDDEN_HEADER_BYTES.isdisjoint(value):
+            raise EndpointRefusedError("a header contains a control byte")
         lines.append(name + b": " + value)
     if call.body or call.method in _BODY_METHODS:
         lines.append(b"content-length: %d" % len(call.body))
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -179,10 +179,10 @@
         clock,
         "",
     )
-    assert context.forwarder.may_take(math.inf)
-    context.forwarder.stop_by(clock.now_ms() + ms)
+    assert context.forwarder.can_accept(math.inf)
+    context.forwarder.set_stop_time(clock.now_ms() + ms)
 
 
 @then("a request of {ms:d} ms is {taken}")
 def step_taken(context, ms, taken):
-    assert context.forwarder.may_take(ms) is (taken == "taken")
+    assert context.forwarder.can_accept(ms) is (taken == "taken")
