--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -14,15 +14,15 @@
 from pomelolane.endpoints import ConnectionPool
 from pomelolane.forwarding.app import CallerApp, ProbeApp
 from pomelolane.forwarding.budget import RetryAllowance, SharedRetryBudget
-from pomelolane.forwarding.departures import SaidDepartures
+from pomelolane.forwarding.departures import AnnouncedDepartures
 from pomelolane.forwarding.forwarder import Forwarder
 from pomelolane.forwarding.intake import Intake
 from pomelolane.forwarding.ledger import Ledger
-from pomelolane.forwarding.notices import Notices
+from pomelolane.forwarding.notices import NoticeHandler
 from pomelolane.forwarding.sender import Sender
-from pomelolane.forwarding.told import ToldUses
 from pomelolane.forwarding.tree import tree_from_configuration
-from pomelolane.forwarding.usenews import UseNews
+from pomelolane.forwarding.usage_exchange import UsageExchange
+from pomelolane.forwarding.usage_publisher import UsagePublisher
 from pomelolane.http.listener import Listener, listening_socket
 from pomelolane.logs import log_event
 from pomelolane.membership import is_store_reader, make_member
@@ -159,11 +159,13 @@
             polls_engines=False,
             known_vms=self.member.known_vms,
         )
-        told = ToldUses(
+        usage_exchange = UsageExchange(
             options.vm_id, incarnation, self.member, self.member.transport, clock
         )
-        self.ledger = Ledger(self.coordination, record, told)
-        self.use_news = UseNews(options.vm_id, self.coordination, told)
+        self.ledger = Ledger(self.coordination, record, usage_exchange)
+        self.usage_publisher = UsagePublisher(
+            options.vm_id, self.coordination, usage_exchange
+        )
         self.quarantine = Quarantine(clock)
         self._crashes = CrashWatch(
             self.quarantine, self._pool, directory, clock, WallClock()
@@ -192,9 +194,9 @@
             self.coordination.client,
             Sender(self._pool, dialect),
             directory,
-            Notices(
+            NoticeHandler(
                 directory,
-                SaidDepartures(directory, self.member),
+                AnnouncedDepartures(directory, self.member),
                 self.coordination.client,
             ),
             self._make_budget,
@@ -204,7 +206,7 @@
             options.data_centre,
         )
         self.member.on_tick(self.forwarder.timeouts.look)
-        self._takes_part = False
+        self._has_joined_scheduling = False
         self._is_started = False
         self._handover: asyncio.Task[None] | None = None
         current.on_change(self._intake.adopt)
@@ -223,16 +225,16 @@
         await self.member.start()
         await self.coordination.start()
 
-    def take_part(self) -> None:
+    def join_scheduling(self) -> None:
         """Take part in scheduling.
 
         Only after the others were met: a VM that is alone in its view takes all roles,
         and lets pass of limits what each of a fleet that starts together lets pass.
         """
-        self._takes_part = True
+        self._has_joined_scheduling = True
         self._configure()
 
-    def take_callers(self) -> None:
+    def accept_callers(self) -> None:
         """Say that callers may come."""
         self._is_started = True
         self._intake.open()
@@ -286,10 +288,10 @@
 
     async def finish(self, listener: Listener) -> None:
         """Finish what was accepted, in the time allowed."""
-        left_ms = self._options.grace_ms - BALANCER_NOTICE_MS - EXIT_RESERVE_MS
-        self.forwarder.stop_by(self._clock.now_ms() + left_ms)
+        remaining_ms = self._options.grace_ms - BALANCER_NOTICE_MS - EXIT_RESERVE_MS
+        self.forwarder.set_stop_time(self._clock.now_ms() + remaining_ms)
         try:
-            async with asyncio.timeout(left_ms / 1000):
+            async with asyncio.timeout(remaining_ms / 1000):
                 await self.forwarder.finish()
                 await listener.stop()
         except TimeoutError:
@@ -310,7 +312,7 @@
 
     def _configure(self) -> None:
         configuration = self._current.value
-        if configuration is None or not self._takes_part:
+        if configuration is None or not self._has_joined_scheduling:
             return
         usable = self.rollouts.usable(self._directory.all)
         tree = tree_from_configuration(configuration, usable)
