--- a/src/pomelolane/coordination/__init__.py
+++ b/src/pomelolane/coordination/__init__.py
@@ -11,22 +11,26 @@
     Coordination,
     make_coordination,
 )
-from pomelolane.coordination.desk import Desk
 from pomelolane.coordination.options import Timings
 from pomelolane.coordination.role import SchedulerRole
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
-from pomelolane.coordination.status import CoordinationStatus, DeskStatus, LinkStatus
+from pomelolane.coordination.service_queue import ServiceQueue
+from pomelolane.coordination.status import (
+    CoordinationStatus,
+    LinkStatus,
+    ServiceQueueStatus,
+)
 
 __all__ = [
     "SHARED_POLICIES",
     "Chooser",
     "Coordination",
     "CoordinationStatus",
-    "Desk",
-    "DeskStatus",
     "GatewayClient",
     "LinkStatus",
     "SchedulerRole",
+    "ServiceQueue",
+    "ServiceQueueStatus",
     "Timings",
     "make_coordination",
     "reachable_data_centres",
--- a/src/pomelolane/coordination/coordination.py
+++ b/src/pomelolane/coordination/coordination.py
@@ -12,15 +12,15 @@
 from pomelolane.coordination.chooser import Chooser
 from pomelolane.coordination.client import CLIENT_MESSAGES, GatewayClient
 from pomelolane.coordination.epochs import Epochs
-from pomelolane.coordination.fallback import LocalDesks
+from pomelolane.coordination.local_queues import LocalQueues
 from pomelolane.coordination.options import LOCAL, Timings
 from pomelolane.coordination.pace import PaceWatch
 from pomelolane.coordination.role import ROLE_MESSAGES, SchedulerRole
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
 from pomelolane.coordination.status import (
     CoordinationStatus,
-    desk_status,
     link_status,
+    service_queue_status,
 )
 from pomelolane.coordination.tickets import LinkContext
 from pomelolane.events import ENDPOINT_LEAVING, TASK_FAILED
@@ -32,8 +32,8 @@
     from collections.abc import Callable
 
     from pomelolane.coordination.account import Account
-    from pomelolane.coordination.desk import Desk
     from pomelolane.coordination.reports import ReportPoller
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.messages import Message
     from pomelolane.model import Endpoint
     from pomelolane.ports import Clock, Membership, SchedulingCore, Transport
@@ -93,7 +93,7 @@
         self.role = SchedulerRole(
             vm_id, data_centre, self._chooser, transport, steady, make_core, timings
         )
-        self._local = LocalDesks(
+        self._local = LocalQueues(
             vm_id,
             self._take_local_reply,
             steady,
@@ -117,11 +117,11 @@
         paused_ms = self._steady.paused_ms - self._counted_pauses_ms
         self._counted_pauses_ms = self._steady.paused_ms
         gateways = self._chooser.gateways()
-        for desk in self.role.desks().values():
-            desk.settle(gateways)
-            desk.note_pause(paused_ms)
-        for desk in self._local.desks().values():
-            desk.note_pause(paused_ms)
+        for service_queue in self.role.service_queues().values():
+            service_queue.settle(gateways)
+            service_queue.note_pause(paused_ms)
+        for service_queue in self._local.service_queues().values():
+            service_queue.note_pause(paused_ms)
 
     def _link_context(self, clock: Clock, incarnation: int) -> LinkContext:
         return LinkContext(
@@ -175,7 +175,7 @@
         )
 
         options = PollerOptions(address_of, self._engine_leaves)
-        return ReportPoller(self._polled_desks, clock, options)
+        return ReportPoller(self._polled_service_queues, clock, options)
 
     # --- life -------------------------------------------------------------
 
@@ -214,11 +214,11 @@
         self.role.tick()
         self._local.tick()
         self._note_handover()
-        self._pace.look(self._polled_desks())
+        self._pace.look(self._polled_service_queues())
 
     def schedules(self, service: str) -> bool:
         """Tell whether this VM is the scheduler of a service."""
-        return self.role.desk(service) is not None
+        return self.role.service_queue(service) is not None
 
     def schedulers(self) -> dict[str, str]:
         """Return which VM schedules each service, as far as this VM can tell."""
@@ -242,19 +242,30 @@
 
     def waiting(self, service: str) -> int:
         """Return how many requests wait at this VM's desk of a service."""
-        desk = self.role.desk(service)
-        return sum(1 for _ in desk.book.waiting()) if desk is not None else 0
+        service_queue = self.role.service_queue(service)
+        return (
+            sum(1 for _ in service_queue.book.waiting())
+            if service_queue is not None
+            else 0
+        )
 
     def status(self) -> CoordinationStatus:
         """Return what operators may want to see."""
         links = self.client.links()
         now_ms = self._clock.now_ms()
-        desks = [*self.role.desks().values(), *self._local.desks().values()]
-        roles = [name for name in self.role.desks() if self.role.desk(name)]
+        service_queues = [
+            *self.role.service_queues().values(),
+            *self._local.service_queues().values(),
+        ]
+        roles = [
+            name for name in self.role.service_queues() if self.role.service_queue(name)
+        ]
         return CoordinationStatus(
             links=tuple(link_status(links[name], now_ms) for name in sorted(links)),
             roles=tuple(sorted(roles)),
-            desks=tuple(desk_status(desk) for desk in desks),
+            service_queues=tuple(
+                service_queue_status(service_queue) for service_queue in service_queues
+            ),
             suspects=self._chooser.suspects(),
         )
 
@@ -291,9 +302,9 @@
         data_centres = reachable_data_centres(view, self._data_centre)
         self._local.configure(scoped_tree(self._tree, data_centres), self._share())
 
-    def _polled_desks(self) -> list[Desk]:
-        held = [self.role.desk(name) for name in self.role.desks()]
-        return [*filter(None, held), *self._local.desks().values()]
+    def _polled_service_queues(self) -> list[ServiceQueue]:
+        held = [self.role.service_queue(name) for name in self.role.service_queues()]
+        return [*filter(None, held), *self._local.service_queues().values()]
 
     def _note_handover(self) -> None:
         if not self.role.is_followed_by_others():
@@ -315,8 +326,8 @@
     @property
     def period_ms(self) -> float:
         """Time until the next tick: longer while nothing here waits for one."""
-        desks = self.role.desks() or self._local.desks()
-        if desks or self.client.is_waiting:
+        service_queues = self.role.service_queues() or self._local.service_queues()
+        if service_queues or self.client.is_waiting:
             return self._timings.client_tick_ms
         return self._timings.calm_tick_ms
 
--- a/src/pomelolane/coordination/fallback.py
+++ b/src/pomelolane/coordination/local_queues.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.coordination.account import Account
-from pomelolane.coordination.desks import Desks
+from pomelolane.coordination.service_queues import ServiceQueues
 from pomelolane.messages import Unfollow
 from pomelolane.model import Tree
 
@@ -24,14 +24,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from pomelolane.coordination.desk import Desk
     from pomelolane.coordination.options import Timings
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.messages import Message
     from pomelolane.ports import Clock, SchedulingCore
     from pomelolane.scheduler.limits import LimitBook
 
 
-class LocalDesks:
+class LocalQueues:
     """Private desks of one gateway, made when first needed.
 
     Args:
@@ -63,7 +63,7 @@
         self._clock = clock
         # The own gateway needs no sign of life.
         patient = replace(timings, follower_silence_ms=math.inf)
-        self._desks = Desks(
+        self._service_queues = ServiceQueues(
             self._core_of,
             self._send,
             clock,
@@ -77,23 +77,23 @@
         """Adopt a tree, cut down to what may be granted, and the own share."""
         self._tree = tree
         self._share = share
-        self._desks.configure(tree)
+        self._service_queues.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
         """Grant nothing more to an endpoint."""
-        self._desks.mark_leaving(endpoint_id)
+        self._service_queues.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
         """Take back a mark."""
-        self._desks.mark_returned(endpoint_id)
+        self._service_queues.mark_returned(endpoint_id)
 
     def tick(self) -> None:
         """Drive the desks."""
-        self._desks.tick()
+        self._service_queues.tick()
 
-    def desks(self) -> dict[str, Desk]:
+    def service_queues(self) -> dict[str, ServiceQueue]:
         """Return the desks by service."""
-        return self._desks.by_service()
+        return self._service_queues.by_service()
 
     def accounts(self) -> dict[str, Account]:
         """Return what was let pass here, by service, also in earlier turns."""
@@ -112,20 +112,20 @@
     def receive(self, service: str, message: Message) -> bool:
         """Take a message of the gateway; without a service it is for all."""
         if isinstance(message, Unfollow):
-            self._desks.close(service)
+            self._service_queues.close(service)
         elif service:
             self._open(service).receive(self._vm_id, message)
         else:
-            for desk in self._desks.all():
-                desk.receive(self._vm_id, message)
+            for service_queue in self._service_queues.all():
+                service_queue.receive(self._vm_id, message)
         return True
 
-    def _open(self, service: str) -> Desk:
-        desk = self._desks.get(service)
-        if desk is None:
-            desk = self._desks.open(service, self._tree)
-            desk.account.assume_used(_SPARE_PART)
-        return desk
+    def _open(self, service: str) -> ServiceQueue:
+        service_queue = self._service_queues.get(service)
+        if service_queue is None:
+            service_queue = self._service_queues.open(service, self._tree)
+            service_queue.account.assume_used(_SPARE_PART)
+        return service_queue
 
     def _send(self, gateway: str, message: Message) -> None:
         del gateway
--- a/src/pomelolane/coordination/pace.py
+++ b/src/pomelolane/coordination/pace.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from pomelolane.coordination.desk import Desk
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.ports import Clock
 
 PERIOD_MS = 500.0
@@ -31,14 +31,14 @@
         self._next_ms = 0.0
         self._straggling: set[str] = set()
 
-    def look(self, desks: Iterable[Desk]) -> None:
+    def look(self, service_queues: Iterable[ServiceQueue]) -> None:
         """Log what changed since the last look, a few times a second at most."""
         now_ms = self._clock.now_ms()
         if now_ms < self._next_ms:
             return
         self._next_ms = now_ms + PERIOD_MS
-        for desk in desks:
-            read = getattr(desk.core, "status", None)
+        for service_queue in service_queues:
+            read = getattr(service_queue.core, "status", None)
             if callable(read):
                 self._compare(read())
 
--- a/src/pomelolane/coordination/reports.py
+++ b/src/pomelolane/coordination/reports.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from pomelolane.coordination.desk import Desk
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.model import Endpoint
     from pomelolane.ports import Clock
 
@@ -76,11 +76,11 @@
 
     def __init__(
         self,
-        desks: Callable[[], Iterable[Desk]],
+        service_queues: Callable[[], Iterable[ServiceQueue]],
         clock: Clock,
         options: PollerOptions,
     ) -> None:
-        self._desks = desks
+        self._service_queues = service_queues
         self._clock = clock
         self._options = options
         self._sequences: dict[str, int] = {}
@@ -101,35 +101,41 @@
     async def poll(self, session: aiohttp.ClientSession) -> None:
         """Ask every engine once, but those that still owe an earlier answer."""
         calls = [
-            self._poll_engine(session, desk, endpoint)
-            for desk in list(self._desks())
-            for endpoint in desk.endpoints(ServiceKind.ENGINE)
+            self._poll_engine(session, service_queue, endpoint)
+            for service_queue in list(self._service_queues())
+            for endpoint in service_queue.endpoints(ServiceKind.ENGINE)
         ]
         await asyncio.gather(*calls)
 
     async def _poll_engine(
-        self, session: aiohttp.ClientSession, desk: Desk, endpoint: Endpoint
+        self,
+        session: aiohttp.ClientSession,
+        service_queue: ServiceQueue,
+        endpoint: Endpoint,
     ) -> None:
-        asked = (id(desk), endpoint.endpoint_id)
+        asked = (id(service_queue), endpoint.endpoint_id)
         if asked in self._asked:
             return
         self._asked.add(asked)
         try:
             async with self._places:
-                await self._ask(session, desk, endpoint)
+                await self._ask(session, service_queue, endpoint)
         finally:
             self._asked.discard(asked)
 
     async def _ask(
-        self, session: aiohttp.ClientSession, desk: Desk, endpoint: Endpoint
+        self,
+        session: aiohttp.ClientSession,
+        service_queue: ServiceQueue,
+        endpoint: Endpoint,
     ) -> None:
         load = await self._get(session, endpoint, "/load")
         if load is not None:
-            self._take_load(desk, endpoint, load)
+            self._take_load(service_queue, endpoint, load)
         after = self._sequences.get(endpoint.endpoint_id, 0)
         events = await self._get(session, endpoint, f"/cache/events?after={after}")
         if events is not None:
-            self._take_events(desk, endpoint, events)
+            self._take_events(service_queue, endpoint, events)
 
     async def _get(
         self, session: aiohttp.ClientSession, endpoint: Endpoint, path: str
@@ -142,7 +148,9 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
 
-    def _take_load(self, desk: Desk, endpoint: Endpoint, body: bytes) -> None:
+    def _take_load(
+        self, service_queue: ServiceQueue, endpoint: Endpoint, body: bytes
+    ) -> None:
         try:
             load = _load_decoder.decode(body)
         except msgspec.DecodeError:
@@ -154,11 +162,15 @@
             load.kv_used_tokens,
             load.age_ms,
         )
-        desk.apply(desk.core.report_load(report, self._clock.now_ms()))
+        service_queue.apply(
+            service_queue.core.report_load(report, self._clock.now_ms())
+        )
         if load.state == _LEAVING:
             self._options.on_leaving(endpoint.endpoint_id)
 
-    def _take_events(self, desk: Desk, endpoint: Endpoint, body: bytes) -> None:
+    def _take_events(
+        self, service_queue: ServiceQueue, endpoint: Endpoint, body: bytes
+    ) -> None:
         try:
             events = _events_decoder.decode(body).events
         except msgspec.DecodeError:
@@ -168,7 +180,7 @@
             fact = CacheEvent(
                 endpoint.endpoint_id, event.sequence, event.stored, event.prefix_hash
             )
-            desk.core.report_cache(fact, now_ms)
+            service_queue.core.report_cache(fact, now_ms)
         if events:
             last = max(event.sequence for event in events)
             self._sequences[endpoint.endpoint_id] = last
--- a/src/pomelolane/coordination/role.py
+++ b/src/pomelolane/coordination/role.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.coordination import epochs
-from pomelolane.coordination.desks import Desks
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
+from pomelolane.coordination.service_queues import ServiceQueues
 from pomelolane.events import SCHEDULER_ROLE
 from pomelolane.logs import log_event
 from pomelolane.messages import (
@@ -30,8 +30,8 @@
     from collections.abc import Callable
 
     from pomelolane.coordination.chooser import Chooser
-    from pomelolane.coordination.desk import Desk
     from pomelolane.coordination.options import Timings
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.ports import Clock, Peer, SchedulingCore, Transport
 
 ROLE_MESSAGES = (Submit, Sync, Progress, Withdraw, Unfollow, LimitsHeard)
@@ -75,7 +75,7 @@
         self._make_core = make_core
         self._timings = timings
         self._tree = Tree()
-        self._desks = Desks(
+        self._service_queues = ServiceQueues(
             self._core_of,
             transport.send,
             clock,
@@ -99,23 +99,25 @@
     def configure(self, tree: Tree) -> None:
         """Adopt a settings tree."""
         self._tree = tree
-        self._desks.forget_marks_but_of(tree.endpoints)
-        for service in [name for name in self.desks() if name not in tree.services]:
+        self._service_queues.forget_marks_but_of(tree.endpoints)
+        for service in [
+            name for name in self.service_queues() if name not in tree.services
+        ]:
             self._close(service)
         self._data_centres = frozenset()
         self.refresh()
 
     def mark_leaving(self, endpoint_id: str) -> None:
         """Grant nothing more to an endpoint."""
-        self._desks.mark_leaving(endpoint_id)
+        self._service_queues.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
         """Take back a mark."""
-        self._desks.mark_returned(endpoint_id)
+        self._service_queues.mark_returned(endpoint_id)
 
     def tick(self) -> None:
         """Drive the desks, and end those that nobody follows any more."""
-        self._desks.tick()
+        self._service_queues.tick()
         for service in list(self._lingering_since_ms):
             if not self._is_followed(service):
                 self._close(service)
@@ -130,20 +132,23 @@
             return self._chooser.gateways_from_own()
         return (self._vm_id,)
 
-    def desk(self, service: str) -> Desk | None:
+    def service_queue(self, service: str) -> ServiceQueue | None:
         """Return the desk of a service that this VM is chosen for."""
         if service in self._lingering_since_ms:
             return None
-        return self._desks.get(service)
+        return self._service_queues.get(service)
 
-    def desks(self) -> dict[str, Desk]:
+    def service_queues(self) -> dict[str, ServiceQueue]:
         """Return all desks by service, those about to end included."""
-        return self._desks.by_service()
+        return self._service_queues.by_service()
 
     def is_followed_by_others(self) -> bool:
         """Tell whether any other VM still follows this one."""
         own = frozenset({self._vm_id})
-        return any(desk.followers() - own for desk in self._desks.all())
+        return any(
+            service_queue.followers() - own
+            for service_queue in self._service_queues.all()
+        )
 
     def refresh(self) -> None:
         """Compare the roles with the view."""
@@ -152,9 +157,9 @@
         self._await_joined()
         for service in self._tree.services:
             is_chosen = self._chooser.scheduler(service) == self._vm_id
-            if is_chosen and self.desk(service) is None:
+            if is_chosen and self.service_queue(service) is None:
                 self._take(service)
-            elif not is_chosen and self.desk(service) is not None:
+            elif not is_chosen and self.service_queue(service) is not None:
                 self._leave(service)
 
     # --- messages ---------------------------------------------------------
@@ -170,8 +175,8 @@
             case Sync() | Unfollow() | LimitsHeard():
                 self._pass_on(gateway, message, message.service)
             case Progress() | Withdraw():
-                for desk in self._desks.all():
-                    desk.receive(gateway, message)
+                for service_queue in self._service_queues.all():
+                    service_queue.receive(gateway, message)
 
     def _submitted(self, gateway: str, message: Submit) -> None:
         """Give each service of a submit to its desk; as a rule it is one."""
@@ -186,9 +191,9 @@
             self._pass_on(gateway, Submit(message.epoch, waiting, running), service)
 
     def _pass_on(self, gateway: str, message: Message, service: str) -> None:
-        desk = self._desks.get(service)
-        if desk is not None:
-            desk.receive(gateway, message)
+        service_queue = self._service_queues.get(service)
+        if service_queue is not None:
+            service_queue.receive(gateway, message)
         elif not isinstance(message, Unfollow | LimitsHeard):
             self._decline(gateway, message.epoch, service)
 
@@ -204,9 +209,9 @@
     def _take(self, service: str) -> None:
         log_event(SCHEDULER_ROLE, service=service, held=True)
         self._lingering_since_ms.pop(service, None)
-        desk = self._desks.open(service, self._scoped_tree())
-        desk.account.assume_used(_SPARE_PART / len(self._tree.services))
-        desk.settle(self._chooser.gateways())
+        service_queue = self._service_queues.open(service, self._scoped_tree())
+        service_queue.account.assume_used(_SPARE_PART / len(self._tree.services))
+        service_queue.settle(self._chooser.gateways())
         self.on_taken(service)
 
     def _await_joined(self) -> None:
@@ -219,9 +224,9 @@
         joined = gateways - self._seen
         self._seen = gateways
         for service in self._tree.services if joined else ():
-            desk = self.desk(service)
-            if desk is not None and desk.followers() <= {self._vm_id}:
-                desk.settle(gateways)
+            service_queue = self.service_queue(service)
+            if service_queue is not None and service_queue.followers() <= {self._vm_id}:
+                service_queue.settle(gateways)
 
     def _core_of(self, service: str) -> SchedulingCore:
         """Return a service's core, the same one each time the role is taken."""
@@ -237,7 +242,7 @@
         self.on_left(service)
 
     def _is_followed(self, service: str) -> bool:
-        if not self.desks()[service].followers():
+        if not self.service_queues()[service].followers():
             return False
         if self._chooser.is_stopping:
             return True
@@ -246,7 +251,7 @@
 
     def _close(self, service: str) -> None:
         self._lingering_since_ms.pop(service, None)
-        self._desks.close(service)
+        self._service_queues.close(service)
 
     # --- the view ---------------------------------------------------------
 
@@ -259,15 +264,15 @@
         if data_centres == self._data_centres:
             return
         self._data_centres = data_centres
-        self._desks.configure(self._scoped_tree())
+        self._service_queues.configure(self._scoped_tree())
 
     def _drop_lost_gateways(self) -> None:
         peers = dict(self._chooser.view().peers)
         for vm_id, before in self._gateways.items():
             now = peers.get(vm_id)
             if now is None or now.incarnation != before.incarnation:
-                for desk in self._desks.all():
-                    desk.drop_gateway(vm_id)
+                for service_queue in self._service_queues.all():
+                    service_queue.drop_gateway(vm_id)
         self._gateways = peers
 
 
--- a/src/pomelolane/coordination/desk.py
+++ b/src/pomelolane/coordination/service_queue.py
@@ -43,7 +43,7 @@
 _ABSENCES_UNTIL_GONE = 2
 
 
-class Desk:
+class ServiceQueue:
     """Schedules one service for the gateways that follow it.
 
     Args:
--- a/src/pomelolane/coordination/desks.py
+++ b/src/pomelolane/coordination/service_queues.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from pomelolane.coordination.desk import Desk
+from pomelolane.coordination.service_queue import ServiceQueue
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -19,7 +19,7 @@
     from pomelolane.ports import Clock, SchedulingCore
 
 
-class Desks:
+class ServiceQueues:
     """A set of desks that share endpoints marked as leaving.
 
     Args:
@@ -49,26 +49,26 @@
         self._clock = clock
         self._timings = timings
         self._share_of = share_of
-        self._desks: dict[str, Desk] = {}
+        self._service_queues: dict[str, ServiceQueue] = {}
         self._leaving: set[str] = set()
 
-    def by_service(self) -> dict[str, Desk]:
+    def by_service(self) -> dict[str, ServiceQueue]:
         """Return the desks by service."""
-        return self._desks
+        return self._service_queues
 
-    def all(self) -> list[Desk]:
+    def all(self) -> list[ServiceQueue]:
         """Return the desks as they are now, safe against changes meanwhile."""
-        return list(self._desks.values())
+        return list(self._service_queues.values())
 
-    def get(self, service: str) -> Desk | None:
+    def get(self, service: str) -> ServiceQueue | None:
         """Return the desk of a service, if there is one."""
-        return self._desks.get(service)
+        return self._service_queues.get(service)
 
-    def open(self, service: str, tree: Tree) -> Desk:
+    def open(self, service: str, tree: Tree) -> ServiceQueue:
         """Return the desk of a service, made under a tree if there is none."""
-        desk = self._desks.get(service)
-        if desk is None:
-            desk = Desk(
+        service_queue = self._service_queues.get(service)
+        if service_queue is None:
+            service_queue = ServiceQueue(
                 service,
                 self._make_core(service),
                 self._send,
@@ -78,34 +78,34 @@
                 self._rate_share,
                 self._dealt_to,
             )
-            self._desks[service] = desk
+            self._service_queues[service] = service_queue
             for endpoint_id in self._leaving:
-                desk.mark_leaving(endpoint_id)
-            desk.configure(tree)
-        return desk
+                service_queue.mark_leaving(endpoint_id)
+            service_queue.configure(tree)
+        return service_queue
 
     def close(self, service: str) -> None:
         """End the desk of a service, if there is one."""
-        desk = self._desks.pop(service, None)
-        if desk is not None:
-            desk.close()
+        service_queue = self._service_queues.pop(service, None)
+        if service_queue is not None:
+            service_queue.close()
 
     def configure(self, tree: Tree) -> None:
         """Let all desks adopt a settings tree."""
-        for desk in self.all():
-            desk.configure(tree)
+        for service_queue in self.all():
+            service_queue.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
         """Grant nothing more to an endpoint."""
         self._leaving.add(endpoint_id)
-        for desk in self.all():
-            desk.mark_leaving(endpoint_id)
+        for service_queue in self.all():
+            service_queue.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
         """Take back a mark."""
         self._leaving.discard(endpoint_id)
-        for desk in self.all():
-            desk.mark_returned(endpoint_id)
+        for service_queue in self.all():
+            service_queue.mark_returned(endpoint_id)
 
     def forget_marks_but_of(self, endpoint_ids: Iterable[str]) -> None:
         """Drop the marks of endpoints that are declared no more."""
@@ -113,8 +113,8 @@
 
     def tick(self) -> None:
         """Drive the desks."""
-        for desk in self.all():
-            desk.tick()
+        for service_queue in self.all():
+            service_queue.tick()
 
 
-__all__ = ["Desks"]
+__all__ = ["ServiceQueues"]
--- a/src/pomelolane/coordination/status.py
+++ b/src/pomelolane/coordination/status.py
@@ -12,13 +12,13 @@
 from pomelolane.coordination.options import LOCAL
 
 if TYPE_CHECKING:
-    from pomelolane.coordination.desk import Desk
     from pomelolane.coordination.link import Link
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.messages import NamedLimit
 
 
 @dataclass(frozen=True, slots=True)
-class DeskStatus:
+class ServiceQueueStatus:
     """A service's queue as its scheduler sees it.
 
     Attributes:
@@ -72,20 +72,20 @@
 
     links: tuple[LinkStatus, ...]
     roles: tuple[str, ...]
-    desks: tuple[DeskStatus, ...]
+    service_queues: tuple[ServiceQueueStatus, ...]
     suspects: tuple[str, ...]
 
 
-def desk_status(desk: Desk) -> DeskStatus:
+def service_queue_status(service_queue: ServiceQueue) -> ServiceQueueStatus:
     """Return the status of a desk."""
-    entries = desk.book.entries.values()
+    entries = service_queue.book.entries.values()
     waiting = Counter(e.handle.tier_rank for e in entries if not e.endpoint_id)
     running = Counter(e.endpoint_id for e in entries if e.endpoint_id)
-    read_core = getattr(desk.core, "status", None)
-    return DeskStatus(
-        service=desk.service,
-        settling=desk.is_settling,
-        followers=tuple(sorted(desk.followers())),
+    read_core = getattr(service_queue.core, "status", None)
+    return ServiceQueueStatus(
+        service=service_queue.service,
+        settling=service_queue.is_settling,
+        followers=tuple(sorted(service_queue.followers())),
         waiting_by_tier=dict(sorted(waiting.items())),
         running_by_endpoint=dict(sorted(running.items())),
         core=read_core() if callable(read_core) else None,
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from pomelolane.coordination import Coordination, Desk
+    from pomelolane.coordination import Coordination, ServiceQueue
     from pomelolane.forwarding.told import ToldUses
     from pomelolane.scheduler.spans import Use
 
@@ -113,8 +113,8 @@
             only_due: Leave out services of which little is unrecorded.
         """
         role = self._coordination.role
-        for service in list(role.desks()):
-            desk = role.desk(service)
+        for service in list(role.service_queues()):
+            desk = role.service_queue(service)
             if desk is None:
                 continue
             if only_due and not self._is_due(service, desk):
@@ -133,7 +133,7 @@
             else:
                 self._overdue.discard(service)
 
-    def _is_due(self, service: str, desk: Desk) -> bool:
+    def _is_due(self, service: str, desk: ServiceQueue) -> bool:
         if service in self._overdue:
             return True
         return desk.account.unrecorded_share() >= UNRECORDED_SHARE
@@ -149,7 +149,7 @@
 
     def _count_told(self, service: str) -> None:
         """Judge by the word of the scheduler before until the record is read."""
-        desk = self._coordination.role.desk(service)
+        desk = self._coordination.role.service_queue(service)
         guess_part = self._told.guess_part(service)
         if desk is not None and guess_part < 1.0:
             desk.account.take_uses(self._known(service, ()), guess_part=guess_part)
@@ -160,7 +160,7 @@
 
     def _left(self, service: str) -> None:
         """Tell the others what passed here: the store may not have heard of it."""
-        account = self._coordination.role.desks()[service].account
+        account = self._coordination.role.service_queues()[service].account
         self._unread.pop(service, None)
         uses = account.uses()
         if uses:
@@ -176,7 +176,7 @@
     def read_again(self) -> None:
         """Read the record again for roles that are judged by a guess without it."""
         for service, ticks in list(self._unread.items()):
-            desk = self._coordination.role.desk(service)
+            desk = self._coordination.role.service_queue(service)
             if desk is None or not desk.account.guess_part():
                 del self._unread[service]
             elif ticks:
@@ -185,7 +185,7 @@
                 self._taken(service)
 
     def _heard(self, service: str) -> None:
-        if self._coordination.role.desk(service) is not None:
+        if self._coordination.role.service_queue(service) is not None:
             self._taken(service)
 
     async def _load(self, service: str) -> None:
@@ -193,7 +193,7 @@
             await asyncio.sleep(self._load_delay_s)
         # What is told from now on may be missing in what is read.
         self._awaiting.discard(service)
-        if self._coordination.role.desk(service) is None:
+        if self._coordination.role.service_queue(service) is None:
             return
         recorded: Sequence[Use] = ()
         is_read = False
@@ -208,7 +208,7 @@
             self._unread.pop(service, None)
         else:
             self._unread[service] = READ_AGAIN_TICKS
-        desk = self._coordination.role.desk(service)
+        desk = self._coordination.role.service_queue(service)
         if desk is None:
             return
         # One word is not the record: others may have let pass what nobody has told.
@@ -219,7 +219,7 @@
         if not is_read:
             self._tell_guess(service, desk)
 
-    def _tell_guess(self, service: str, desk: Desk) -> None:
+    def _tell_guess(self, service: str, desk: ServiceQueue) -> None:
         guessed = desk.account.guessed()
         if guessed:
             log_event(
@@ -233,7 +233,7 @@
         """Return what passed under this VM for other services."""
         return [
             replace(use, service=name, scheduler=self._told.own_source(name)[1])
-            for name, desk in self._coordination.role.desks().items()
+            for name, desk in self._coordination.role.service_queues().items()
             if name != service
             for use in desk.account.uses()
         ]
--- a/src/pomelolane/forwarding/usenews.py
+++ b/src/pomelolane/forwarding/usenews.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from pomelolane.coordination import Coordination, Desk
+    from pomelolane.coordination import Coordination, ServiceQueue
     from pomelolane.forwarding.told import ToldUses
     from pomelolane.scheduler.spans import Use
 
@@ -60,7 +60,7 @@
         Args:
             whole: Tell all that passed, where anything did since it was told last.
         """
-        desks = self._coordination.role.desks()
+        desks = self._coordination.role.service_queues()
         for service in self._listeners.keys() - desks.keys():
             del self._listeners[service]
         if self._told.take_has_read():
@@ -150,9 +150,9 @@
         for desk in self._desks_beside(source):
             desk.account.hear(source, uses, adds=adds)
 
-    def _desks_beside(self, source: tuple[str, str]) -> list[Desk]:
+    def _desks_beside(self, source: tuple[str, str]) -> list[ServiceQueue]:
         """Return the own desks but the one whose account it is."""
-        desks = self._coordination.role.desks()
+        desks = self._coordination.role.service_queues()
         return [
             desk
             for service, desk in desks.items()
--- a/src/pomelolane/rollouts/rollouts.py
+++ b/src/pomelolane/rollouts/rollouts.py
@@ -173,7 +173,7 @@
             self._tick(rollout)
 
     def _tick(self, rollout: _Rollout) -> None:
-        desk = self._coordination.role.desk(rollout.order.service)
+        desk = self._coordination.role.service_queue(rollout.order.service)
         if desk is None:
             self._leave(rollout)
             self._let_lapse(rollout)
--- a/src/pomelolane/statusboard.py
+++ b/src/pomelolane/statusboard.py
@@ -80,7 +80,7 @@
     """Report an endpoint; observed speeds are known to its scheduler only."""
     running = 0
     figures = None
-    for desk in status.desks:
+    for desk in status.service_queues:
         running += desk.running_by_endpoint.get(endpoint.endpoint_id, 0)
         if desk.core is not None:
             figures = desk.core.get(endpoint.endpoint_id, figures)
@@ -110,7 +110,7 @@
 def _queues(parts: Parts, status: CoordinationStatus) -> dict[str, dict[str, int]]:
     names = {tier.rank: tier.name for tier in parts.tree.value.tiers.values()}
     queues: dict[str, dict[str, int]] = {}
-    for desk in status.desks:
+    for desk in status.service_queues:
         tiers = queues.setdefault(desk.service, {})
         for rank, waiting in desk.waiting_by_tier.items():
             name = names.get(rank, NO_TIER.format(rank=rank))
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -210,15 +210,18 @@
 
     # --- checks -----------------------------------------------------------
 
-    def desks(self):
+    def service_queues(self):
         for vm in self.vms.values():
-            yield from vm.coordination.role.desks().values()
+            yield from vm.coordination.role.service_queues().values()
 
     def check_nothing_is_left(self):
-        for desk in self.desks():
-            assert not desk.book.entries, (desk.service, desk.book.entries)
-            assert not desk.core.granted, desk.core.granted
-            assert not desk.core.queue, desk.core.queue
+        for service_queue in self.service_queues():
+            assert not service_queue.book.entries, (
+                service_queue.service,
+                service_queue.book.entries,
+            )
+            assert not service_queue.core.granted, service_queue.core.granted
+            assert not service_queue.core.queue, service_queue.core.queue
 
 
 def make_tree(slots):
@@ -267,5 +270,5 @@
     return [r for r in world.requests.values() if not r.ended]
 
 
-def scheduler_desk(world):
-    return world.vms[world.scheduler()].coordination.role.desk("pool")
+def scheduler_queue(world):
+    return world.vms[world.scheduler()].coordination.role.service_queue("pool")
--- a/tests/steps/coordination_fault_steps.py
+++ b/tests/steps/coordination_fault_steps.py
@@ -16,7 +16,7 @@
     ask,
     in_flight,
     make_handle,
-    scheduler_desk,
+    scheduler_queue,
     world_of,
 )
 
@@ -122,7 +122,7 @@
     vm = world.vms[context.last.gateway]
     vm.frozen = True
     context.run(world.run(for_ms))
-    context.granted = scheduler_desk(world).core.granted.copy()
+    context.granted = scheduler_queue(world).core.granted.copy()
     vm.frozen = False
     context.run(world.settle())
 
--- a/tests/steps/coordination_overload_steps.py
+++ b/tests/steps/coordination_overload_steps.py
@@ -172,7 +172,7 @@
 def step_all_ask(context, count, tokens):
     world = context.world
     context.schedulers = {
-        n for n, vm in world.vms.items() if vm.coordination.role.desks()
+        n for n, vm in world.vms.items() if vm.coordination.role.service_queues()
     }
     for name, vm in world.vms.items():
         vm.coordination.role.on_taken = lambda _, n=name: context.schedulers.add(n)
--- a/tests/steps/coordination_report_steps.py
+++ b/tests/steps/coordination_report_steps.py
@@ -13,7 +13,7 @@
 from tests.coordination.world import (
     World,
     make_tree,
-    scheduler_desk,
+    scheduler_queue,
 )
 from tests.faults import until
 
@@ -122,13 +122,13 @@
 
 @when("the scheduler polls its engines in rounds until {count:d} reports came")
 def step_rounds(context, count):
-    desk = scheduler_desk(context.world)
+    service_queue = scheduler_queue(context.world)
     options = PollerOptions(lambda each: each.address, lambda each: None, 10.0)
-    poller = ReportPoller(lambda: [desk], MonotonicClock(), options)
+    poller = ReportPoller(lambda: [service_queue], MonotonicClock(), options)
 
     async def poll():
         polling = asyncio.create_task(poller.run())
-        await until(lambda: len(desk.core.reports) >= count)
+        await until(lambda: len(service_queue.core.reports) >= count)
         polling.cancel()
 
     context.run(poll())
@@ -152,19 +152,19 @@
 
 @then("the core got the load report and the cache events")
 def step_got(context):
-    core = scheduler_desk(context.world).core
+    core = scheduler_queue(context.world).core
     assert [(r.running, r.waiting, r.age_ms) for r in core.reports] == [(3, 1, 500.5)]
     assert [(e.sequence, e.prefix_hash) for e in core.events] == [(4, 77)]
 
 
 @then("the engine counts as leaving and membership was told")
 def step_told(context):
-    assert scheduler_desk(context.world).core.leaving == {"a/1"}
+    assert scheduler_queue(context.world).core.leaving == {"a/1"}
     assert context.world.told_leaving == ["a/1"]
 
 
 @then("the core got no report")
 def step_got_none(context):
-    core = scheduler_desk(context.world).core
+    core = scheduler_queue(context.world).core
     assert not core.reports
     assert not core.events
--- a/tests/steps/coordination_desk_steps.py
+++ b/tests/steps/coordination_service_queue_steps.py
@@ -1,12 +1,12 @@
-"""Steps of coordination/desk.feature."""
+"""Steps of coordination/service_queue.feature."""
 
 from dataclasses import replace
 
 from behave import given, then, when
 
 from pomelolane.clock import ManualClock
-from pomelolane.coordination.desk import Desk
 from pomelolane.coordination.options import Timings
+from pomelolane.coordination.service_queue import ServiceQueue
 from pomelolane.messages import (
     Granted,
     Handle,
@@ -23,7 +23,7 @@
 
 
 @given('a desk that settles for gateways "{one}" and "{two}" with {slots:d} free slot')
-def step_desk(context, one, two, slots):
+def step_service_queue(context, one, two, slots):
     context.clock = ManualClock(1000.0)
     context.granted = []
     context.refused = []
@@ -34,36 +34,36 @@
         elif isinstance(message, Refused):
             context.refused.append(gateway)
 
-    desk = Desk(
+    service_queue = ServiceQueue(
         "chat", make_core("chat"), send, context.clock, Timings(), lambda _: 1.0
     )
     works = {"w": Work("w", "top", 9000)}
     service = Service("chat", "t", ServiceKind.ENGINE, works, queue_limit=1)
     endpoint = Endpoint("e1", "chat", "dc", "", slots=slots, kv_tokens=100_000)
     context.tree = Tree(services={"chat": service}, endpoints={"e1": endpoint})
-    desk.configure(context.tree)
-    desk.settle((one, two))
-    context.desk = desk
+    service_queue.configure(context.tree)
+    service_queue.settle((one, two))
+    context.service_queue = service_queue
 
 
 @when('the desk is asked by "{gateway}" for tier {tier:d}')
 def step_ask(context, gateway, tier):
     handle = Handle(f"r-{gateway}", "chat", "w", tier, "o", "t", 9000, 10, 10)
-    context.desk.receive(gateway, Submit(1, waiting=(handle,)))
-    context.desk.tick()
+    context.service_queue.receive(gateway, Submit(1, waiting=(handle,)))
+    context.service_queue.tick()
 
 
 @when("both gateways tell the desk all that they hold")
 def step_register(context):
-    context.desk.receive("a", Sync(1, "chat", waiting=("r-a",), whole=True))
-    context.desk.receive("b", Sync(1, "chat", whole=True))
+    context.service_queue.receive("a", Sync(1, "chat", waiting=("r-a",), whole=True))
+    context.service_queue.receive("b", Sync(1, "chat", whole=True))
 
 
 @when("the desk's clock moves on by {ms:d} ms")
 def step_advance(context, ms):
     for _ in range(ms // TICK_MS):
         context.clock.advance(TICK_MS)
-        context.desk.tick()
+        context.service_queue.tick()
 
 
 @then('the desk has granted "{gateway}" only')
@@ -76,30 +76,30 @@
     '"{gateway}" waits in tier {tier:d}'
 )
 def step_full(context, gateway, tier):
-    context.desk.receive("a", Sync(1, "chat", whole=True))
-    context.desk.receive("b", Sync(1, "chat", whole=True))
+    context.service_queue.receive("a", Sync(1, "chat", whole=True))
+    context.service_queue.receive("b", Sync(1, "chat", whole=True))
     for request_id, rank in (("first", 0), ("second", tier)):
         handle = Handle(request_id, "chat", "w", rank, "o", "t", 9000, 10, 10)
-        context.desk.receive(gateway, Submit(1, waiting=(handle,)))
+        context.service_queue.receive(gateway, Submit(1, waiting=(handle,)))
     assert context.granted == [gateway]
 
 
 @when("the desk settles anew")
 def step_settle(context):
-    context.desk.settle(("a", "b"))
+    context.service_queue.settle(("a", "b"))
 
 
 @when("the desk's VM was paused for {ms:d} ms")
 def step_paused(context, ms):
-    context.desk.settle(("a", "b"))
-    context.desk.note_pause(ms)
+    context.service_queue.settle(("a", "b"))
+    context.service_queue.note_pause(ms)
 
 
 @when("the desk sees its first request end")
 def step_first_ends(context):
     events = (StreamEvent("first", "e1", ttft_ms=5.0, finished=True),)
-    context.desk.receive("a", Progress(1, events))
-    context.desk.tick()
+    context.service_queue.receive("a", Progress(1, events))
+    context.service_queue.tick()
 
 
 @then('the desk has granted "{gateway}" twice in all')
@@ -119,16 +119,16 @@
 
 @given("the desk has settled and its endpoint is marked as leaving")
 def step_leaving(context):
-    context.desk.receive("a", Sync(1, "chat", whole=True))
-    context.desk.receive("b", Sync(1, "chat", whole=True))
+    context.service_queue.receive("a", Sync(1, "chat", whole=True))
+    context.service_queue.receive("b", Sync(1, "chat", whole=True))
     # Another endpoint keeps the queue open; its only slot is taken.
     other = replace(context.tree.endpoints["e1"], endpoint_id="e2")
     endpoints = {**context.tree.endpoints, "e2": other}
     context.tree = replace(context.tree, endpoints=endpoints)
-    context.desk.configure(context.tree)
-    context.desk.mark_leaving("e1")
+    context.service_queue.configure(context.tree)
+    context.service_queue.mark_leaving("e1")
     handle = Handle("first", "chat", "w", 0, "o", "t", 9000, 10, 10)
-    context.desk.receive("b", Submit(1, waiting=(handle,)))
+    context.service_queue.receive("b", Submit(1, waiting=(handle,)))
     assert context.granted == ["b"]
 
 
@@ -136,9 +136,9 @@
 def step_cut(context):
     endpoint = context.tree.endpoints["e1"]
     cut = {**context.tree.endpoints, "e1": replace(endpoint, leaving=True)}
-    context.desk.configure(replace(context.tree, endpoints=cut))
-    context.desk.configure(context.tree)
-    context.desk.tick()
+    context.service_queue.configure(replace(context.tree, endpoints=cut))
+    context.service_queue.configure(context.tree)
+    context.service_queue.tick()
 
 
 @then("the desk has granted nobody else")
@@ -155,7 +155,9 @@
             context.placed[message.request_id] = message.endpoint_id
 
     clock = ManualClock(1000.0)
-    desk = Desk("chat", make_core("chat"), send, clock, Timings(), lambda _: 1.0)
+    service_queue = ServiceQueue(
+        "chat", make_core("chat"), send, clock, Timings(), lambda _: 1.0
+    )
     works = {"w": Work("w", "top", 9000)}
     endpoint = Endpoint("e0", "chat", "dc", "", slots=slots, kv_tokens=100_000)
     endpoints = {
@@ -167,8 +169,8 @@
         endpoint, decode_tokens_per_s=4000.0, prefill_tokens_per_s=400_000.0
     )
     service = Service("chat", "t", ServiceKind.ENGINE, works)
-    desk.configure(Tree(services={"chat": service}, endpoints=endpoints))
-    context.desk = desk
+    service_queue.configure(Tree(services={"chat": service}, endpoints=endpoints))
+    context.service_queue = service_queue
 
 
 @when("{suspects:d} suspects and {others:d} other requests ask the desk")
@@ -178,7 +180,7 @@
         handle = Handle(
             name, "chat", "w", 0, "o", "t", 9000, 10, 10, suspect=number < suspects
         )
-        context.desk.receive("a", Submit(1, waiting=(handle,)))
+        context.service_queue.receive("a", Submit(1, waiting=(handle,)))
 
 
 @then("the desk has granted all {count:d}")
--- a/tests/steps/coordination_steps.py
+++ b/tests/steps/coordination_steps.py
@@ -12,7 +12,7 @@
     in_flight,
     live,
     make_handle,
-    scheduler_desk,
+    scheduler_queue,
     world_of,
 )
 
@@ -169,7 +169,7 @@
     world = world_of(context)
     request = ask(context, name)
     world.vms[name].coordination.client.tick()
-    core = scheduler_desk(world).core
+    core = scheduler_queue(world).core
     core.queue[request.handle.request_id] = (request.handle, 0.0)
     context.run(world.run(100))
     assert request.result.retry_after_ms == ms
@@ -260,9 +260,9 @@
 @then("the scheduler has no waiting request")
 def step_no_waiting(context):
     context.run(context.world.settle())
-    desk = scheduler_desk(context.world)
-    assert not desk.book.waiting(), desk.book.waiting()
-    assert not desk.core.queue
+    service_queue = scheduler_queue(context.world)
+    assert not service_queue.book.waiting(), service_queue.book.waiting()
+    assert not service_queue.core.queue
 
 
 @then("the scheduler heard a budget that had shrunk")
@@ -300,7 +300,9 @@
 @then("just that VM holds the coordinated role")
 def step_one_role(context):
     world = context.world
-    holders = [n for n, v in world.vms.items() if v.coordination.role.desk("pool")]
+    holders = [
+        n for n, v in world.vms.items() if v.coordination.role.service_queue("pool")
+    ]
     assert holders == [world.scheduler()], holders
 
 
@@ -312,15 +314,15 @@
 @then("another coordinated VM holds the role")
 def step_other_role(context):
     assert context.world.scheduler() != context.drained
-    assert scheduler_desk(context.world) is not None
+    assert scheduler_queue(context.world) is not None
 
 
 @then("the scheduler still holds the slot of its request")
 def step_still_held(context):
-    entry = scheduler_desk(context.world).book.entries
+    entry = scheduler_queue(context.world).book.entries
     assert context.request.handle.request_id in entry
     assert (
-        context.request.handle.request_id in scheduler_desk(context.world).core.granted
+        context.request.handle.request_id in scheduler_queue(context.world).core.granted
     )
 
 
@@ -347,11 +349,14 @@
 @then("each side grants only its own endpoints")
 def step_scope(context):
     world = context.world
-    desks = {name: vm.coordination.role.desk("pool") for name, vm in world.vms.items()}
+    service_queues = {
+        name: vm.coordination.role.service_queue("pool")
+        for name, vm in world.vms.items()
+    }
     held = {
-        name: set(desk.core.slots) - desk.core.out
-        for name, desk in desks.items()
-        if desk
+        name: set(service_queue.core.slots) - service_queue.core.out
+        for name, service_queue in service_queues.items()
+        if service_queue
     }
     assert len(held) == 2, held
     for name, endpoints in held.items():
@@ -362,7 +367,7 @@
 @then('the scheduler knows all requests of "{name}"')
 def step_known(context, name):
     world = context.world
-    known = scheduler_desk(world).book.entries
+    known = scheduler_queue(world).book.entries
     open_ids = [r.handle.request_id for r in in_flight(world)]
     assert len(open_ids) == 8
     assert set(open_ids) <= set(known), known
@@ -383,9 +388,9 @@
     status = world.vms[world.scheduler()].coordination.status()
     assert status.roles == ("pool",)
     assert status.links[0].scheduler == world.scheduler()
-    desk = status.desks[0]
-    assert desk.waiting_by_tier == {1: waiting}, desk
-    assert sum(desk.running_by_endpoint.values()) == running, desk
+    service_queue = status.service_queues[0]
+    assert service_queue.waiting_by_tier == {1: waiting}, service_queue
+    assert sum(service_queue.running_by_endpoint.values()) == running, service_queue
 
 
 @then("of 200 services only those of a lost VM move among {count:d} VMs")
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -86,7 +86,7 @@
 def step_scheduler(context, share):
     desk = context.desk = FakeDesk(share)
     context.role = SimpleNamespace(
-        desks=lambda: {SERVICE: desk}, desk=lambda service: desk
+        service_queues=lambda: {SERVICE: desk}, service_queue=lambda service: desk
     )
     context.record = FakeRecord()
     context.network = FakeNetwork()
@@ -180,7 +180,7 @@
 
     async def take_and_leave():
         context.role.on_taken(SERVICE)
-        context.role.desk = lambda service: None
+        context.role.service_queue = lambda service: None
         await asyncio.gather(*context.ledger._loading)
 
     context.run(take_and_leave())
--- a/tests/steps/scheduler_rate_steps.py
+++ b/tests/steps/scheduler_rate_steps.py
@@ -167,7 +167,7 @@
 
 @then("the successor keeps the endpoint's limit")
 def step_successor_knows(context):
-    desk = context.world.vms[context.successor].coordination.role.desk("pool")
+    desk = context.world.vms[context.successor].coordination.role.service_queue("pool")
     assert desk.core.limited_endpoints() == {"a/1"}
 
 
