--- a/src/pomelolane/coordination/__init__.py
+++ b/src/pomelolane/coordination/__init__.py
@@ -11,7 +11,6 @@
     Coordination,
     make_coordination,
 )
-from pomelolane.coordination.options import Timings
 from pomelolane.coordination.role import SchedulerRole
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
 from pomelolane.coordination.service_queue import ServiceQueue
@@ -20,6 +19,7 @@
     LinkStatus,
     ServiceQueueStatus,
 )
+from pomelolane.coordination.timings import Timings
 
 __all__ = [
     "SHARED_POLICIES",
--- a/src/pomelolane/coordination/rests.py
+++ b/src/pomelolane/coordination/backoffs.py
@@ -19,7 +19,7 @@
     from pomelolane.ports import Clock
 
 
-class Rests:
+class EndpointBackoffs:
     """Times until which endpoints rest.
 
     Args:
@@ -30,7 +30,7 @@
         self._clock = clock
         self._until_ms: dict[str, tuple[str, float]] = {}
 
-    def begin(self, service: str, endpoint_id: str, rest_ms: float) -> None:
+    def start(self, service: str, endpoint_id: str, rest_ms: float) -> None:
         """Send an endpoint nothing for a time; a rest that ends later stands."""
         until_ms = self._clock.now_ms() + rest_ms
         _, before_ms = self._until_ms.get(endpoint_id, ("", 0.0))
@@ -41,12 +41,12 @@
             ENDPOINT_RESTS, endpoint=endpoint_id, service=service, rest_ms=rest_ms
         )
 
-    def includes(self, endpoint_id: str) -> bool:
+    def is_backing_off(self, endpoint_id: str) -> bool:
         """Tell whether an endpoint rests now."""
         _, until_ms = self._until_ms.get(endpoint_id, ("", 0.0))
         return self._clock.now_ms() < until_ms
 
-    def forget(self, endpoint_ids: Iterable[str]) -> None:
+    def remove(self, endpoint_ids: Iterable[str]) -> None:
         """End the rests of endpoints that have begun anew."""
         for endpoint_id in endpoint_ids:
             self._until_ms.pop(endpoint_id, None)
--- a/src/pomelolane/coordination/chooser.py
+++ b/src/pomelolane/coordination/chooser.py
@@ -17,23 +17,30 @@
 
     from pomelolane.ports import Clock, Membership, View
 
-_HINT_MS = 2000.0
-_SEEN_MS = 15_000.0
-"""Time after which VMs that are missing from the view are taken as gone."""
+_HINT_VALID_MS = 2000.0
+_VISIBLE_HISTORY_MS = 15_000.0
+"""VMs missing from the view for longer than this count as gone."""
 
-_ABLE_PART = 0.75
-"""VMs that carry at least this part of what the strongest one carries may schedule:
-alike machines share the roles, and one with a link twenty times slower gets none."""
+_MIN_CAPACITY_SHARE = 0.75
+"""Only VMs with at least this share of the highest ``carries_per_s`` may schedule.
+
+Similar machines share the role; one with a link twenty times slower never gets it.
+"""
 
 _FALSE_ALARM_MS = 1_600.0
-"""A suspected VM that is heard within this time was slow: one that is dead or cut off
-is silent for as long as its heartbeats may be missing, and more."""
+"""A suspected VM that answers within this time was only slow.
+
+A VM that is dead or cut off stays silent for at least its heartbeat timeout.
+"""
+
+_FALSE_ALARM_KEPT_MS = 30_000.0
+_MAX_SILENCE_FACTOR = 8
+"""Upper bound of the factor that each false alarm doubles.
 
-_ALARM_MEMORY_MS = 30_000.0
-_MOST_PATIENCE = 8
-"""Each false alarm doubles the silence that raises the next one, up to eight times and
-to what ``Timings.patience_ms`` allows: else a scheduler that is slow now and then would
-lose its role and take it back all the time."""
+It lengthens the silence that makes a VM suspected, up to ``Timings.max_silence_ms``.
+Without it a scheduler that is slow now and then would keep losing and regaining the
+role.
+"""
 
 
 class Chooser:
@@ -51,12 +58,12 @@
         self._clock = clock
         self._suspected_until: dict[str, float] = {}
         self._hints: dict[str, tuple[str, float]] = {}
-        self._deaf_until: dict[str, float] = {}
-        self._unable: dict[tuple[str, str], float] = {}
+        self._hints_ignored_until: dict[str, float] = {}
+        self._excluded_until: dict[tuple[str, str], float] = {}
         self._suspected_at: dict[str, tuple[float, int]] = {}
-        self._alarms: dict[str, tuple[int, float]] = {}
+        self._false_alarms: dict[str, tuple[int, float]] = {}
         self._chosen: dict[str, str] = {}
-        self._seen: deque[tuple[float, int]] = deque()
+        self._visible_counts: deque[tuple[float, int]] = deque()
         self.is_stopping = False
         self._callbacks: list[Callable[[], None]] = []
         membership.on_change(self._view_changed)
@@ -82,10 +89,10 @@
         gone = self.scheduler(service)
         peers = self.view().peers
         live = [vm for vm in peers if vm != gone and not self.is_suspected(vm)]
-        able = [vm for vm in live if self._is_able(service, vm)]
-        return choose(service, self._strong(able)) if able else ""
+        able = [vm for vm in live if self._is_eligible(service, vm)]
+        return choose(service, self._strongest(able)) if able else ""
 
-    def heirs(self, service: str) -> frozenset[str]:
+    def standbys(self, service: str) -> frozenset[str]:
         """Return the VMs that take the role if the scheduler or a data centre is lost.
 
         These are its successor, and of each data centre the VM that its gateways follow
@@ -93,10 +100,12 @@
         """
         by_data_centre: dict[str, list[str]] = {}
         for vm_id, peer in self.view().peers.items():
-            if not self.is_suspected(vm_id) and self._is_able(service, vm_id):
+            if not self.is_suspected(vm_id) and self._is_eligible(service, vm_id):
                 by_data_centre.setdefault(peer.data_centre, []).append(vm_id)
-        heirs = {choose(service, self._strong(vms)) for vms in by_data_centre.values()}
-        return frozenset(heirs | {self.successor(service)}) - {""}
+        standbys = {
+            choose(service, self._strongest(vms)) for vms in by_data_centre.values()
+        }
+        return frozenset(standbys | {self.successor(service)}) - {""}
 
     def incarnation_of(self, vm_id: str) -> int:
         """Return the number of a VM's start, 0 while it is not in the view."""
@@ -108,30 +117,33 @@
         peers = self.view().peers.values()
         return frozenset(p.vm_id for p in peers if p.ready) | {self._vm_id}
 
-    def gateways_from_own(self) -> tuple[str, ...]:
+    def gateways_own_first(self) -> tuple[str, ...]:
         """Return the same, this VM first and the others by name."""
         return (self._vm_id, *sorted(self.gateways() - {self._vm_id}))
 
-    def seen_share(self) -> float:
+    def visible_share(self) -> float:
         """Return the part of the lately seen VMs that are in the view now.
 
         Those that are missing may be cut off, with a scheduler of their own.
         """
-        return len(self.gateways()) / self.most_seen()
+        return len(self.gateways()) / self.max_visible()
 
-    def most_seen(self) -> int:
+    def max_visible(self) -> int:
         """Return how many VMs were in the view at most, lately."""
-        self._note_seen()
-        return max(count for _, count in self._seen)
+        self._record_visible()
+        return max(count for _, count in self._visible_counts)
 
-    def _note_seen(self) -> None:
+    def _record_visible(self) -> None:
         now_ms = self._clock.now_ms()
-        self._seen.append((now_ms, len(self.gateways())))
-        while now_ms - self._seen[0][0] > _SEEN_MS:
-            self._seen.popleft()
-        if len(self._seen) > 2 and self._seen[-2][1] == self._seen[-1][1]:
-            newest = self._seen.pop()
-            self._seen[-1] = newest
+        self._visible_counts.append((now_ms, len(self.gateways())))
+        while now_ms - self._visible_counts[0][0] > _VISIBLE_HISTORY_MS:
+            self._visible_counts.popleft()
+        if (
+            len(self._visible_counts) > 2
+            and self._visible_counts[-2][1] == self._visible_counts[-1][1]
+        ):
+            newest = self._visible_counts.pop()
+            self._visible_counts[-1] = newest
 
     def is_suspected(self, vm_id: str) -> bool:
         """Tell whether a VM is passed over because of its silence."""
@@ -150,26 +162,26 @@
         self._suspected_at.setdefault(vm_id, (now_ms, self.incarnation_of(vm_id)))
         self._changed()
 
-    def heard(self, vm_id: str) -> None:
+    def note_alive(self, vm_id: str) -> None:
         """Take a VM back that has answered after all."""
         if self._suspected_until.pop(vm_id, None) is not None:
-            self._note_alarm(vm_id)
+            self._record_recovery(vm_id)
             self._changed()
 
-    def patience(self, vm_id: str) -> int:
+    def silence_factor(self, vm_id: str) -> int:
         """Return by how much the silence is longer after which a VM is suspected."""
-        patience, at_ms = self._alarms.get(vm_id, (1, 0.0))
-        is_old = self._clock.now_ms() - at_ms > _ALARM_MEMORY_MS
-        return 1 if is_old else patience
+        factor, at_ms = self._false_alarms.get(vm_id, (1, 0.0))
+        is_old = self._clock.now_ms() - at_ms > _FALSE_ALARM_KEPT_MS
+        return 1 if is_old else factor
 
-    def _note_alarm(self, vm_id: str) -> None:
+    def _record_recovery(self, vm_id: str) -> None:
         now_ms = self._clock.now_ms()
         suspected_ms, incarnation = self._suspected_at.pop(vm_id, (now_ms, 0))
         # One that was started again meanwhile had died: that was no false alarm.
         was_alive = incarnation == self.incarnation_of(vm_id)
         if was_alive and now_ms - suspected_ms <= _FALSE_ALARM_MS:
-            patience = min(_MOST_PATIENCE, 2 * self.patience(vm_id))
-            self._alarms[vm_id] = (patience, now_ms)
+            factor = min(_MAX_SILENCE_FACTOR, 2 * self.silence_factor(vm_id))
+            self._false_alarms[vm_id] = (factor, now_ms)
 
     def take_hint(self, service: str, vm_id: str) -> None:
         """Follow another VM's word on who schedules a service, once.
@@ -179,19 +191,19 @@
         unlike views cannot send it to and fro.
         """
         if self._hints.pop(service, None) is not None:
-            self._deaf_until[service] = self._clock.now_ms() + _HINT_MS
+            self._hints_ignored_until[service] = self._clock.now_ms() + _HINT_VALID_MS
             self._changed()
             return
         usable = vm_id in self.view().peers and not self.is_suspected(vm_id)
         if vm_id == self._vm_id and self.is_stopping:
             usable = False
-        if usable and service not in self._deaf_until:
-            self._hints[service] = (vm_id, self._clock.now_ms() + _HINT_MS)
+        if usable and service not in self._hints_ignored_until:
+            self._hints[service] = (vm_id, self._clock.now_ms() + _HINT_VALID_MS)
             self._changed()
 
-    def pass_over(self, service: str, vm_id: str, for_ms: float) -> None:
+    def exclude(self, service: str, vm_id: str, for_ms: float) -> None:
         """Choose others for a service that a VM does not know."""
-        self._unable[service, vm_id] = self._clock.now_ms() + for_ms
+        self._excluded_until[service, vm_id] = self._clock.now_ms() + for_ms
         if self._hints.get(service, ("",))[0] == vm_id:
             del self._hints[service]
         self._changed()
@@ -205,10 +217,10 @@
         """Forget suspicions and hints that have grown old."""
         now_ms = self._clock.now_ms()
         ended = [
-            _drop_ended(self._suspected_until, now_ms),
-            _drop_ended(self._hints, now_ms, lambda hint: hint[1]),
-            _drop_ended(self._deaf_until, now_ms),
-            _drop_ended(self._unable, now_ms),
+            _drop_expired(self._suspected_until, now_ms),
+            _drop_expired(self._hints, now_ms, lambda hint: hint[1]),
+            _drop_expired(self._hints_ignored_until, now_ms),
+            _drop_expired(self._excluded_until, now_ms),
         ]
         for vm_id in self._suspected_at.keys() - self._suspected_until.keys():
             del self._suspected_at[vm_id]
@@ -220,33 +232,39 @@
             return self._hints[service][0]
         peers = self.view().peers
         live = [vm for vm in peers if not self.is_suspected(vm)]
-        able = [vm for vm in live if self._is_able(service, vm)]
-        return choose(service, self._strong(able) or live or [self._vm_id])
+        able = [vm for vm in live if self._is_eligible(service, vm)]
+        return choose(service, self._strongest(able) or live or [self._vm_id])
 
-    def _strong(self, vm_ids: list[str]) -> list[str]:
+    def _strongest(self, vm_ids: list[str]) -> list[str]:
         """Return the VMs that carry about as much as the strongest of them."""
         peers = self.view().peers
         most = max((peers[vm].carries_per_s for vm in vm_ids), default=0)
-        least = _ABLE_PART * most
+        least = _MIN_CAPACITY_SHARE * most
         return [vm for vm in vm_ids if peers[vm].carries_per_s >= least]
 
-    def _is_able(self, service: str, vm_id: str) -> bool:
+    def _is_eligible(self, service: str, vm_id: str) -> bool:
         if vm_id == self._vm_id and self.is_stopping:
             return False
         peer = self.view().peers[vm_id]
-        return peer.ready and not peer.draining and (service, vm_id) not in self._unable
+        return (
+            peer.ready
+            and not peer.draining
+            and (service, vm_id) not in self._excluded_until
+        )
 
     def _view_changed(self, view: View) -> None:
-        if self._seen:
+        if self._visible_counts:
             # So many were there until now, whether anybody asked meanwhile or not.
-            self._seen.append((self._clock.now_ms(), self._seen[-1][1]))
-        self._note_seen()
+            self._visible_counts.append(
+                (self._clock.now_ms(), self._visible_counts[-1][1])
+            )
+        self._record_visible()
         for vm_id in [vm for vm in self._suspected_until if vm not in view.peers]:
             del self._suspected_until[vm_id]
             self._suspected_at.pop(vm_id, None)
         self._hints.clear()
-        self._deaf_until.clear()
-        self._unable.clear()
+        self._hints_ignored_until.clear()
+        self._excluded_until.clear()
         self._changed()
 
     def _changed(self) -> None:
@@ -255,10 +273,10 @@
             callback()
 
 
-def _drop_ended(
-    untils: dict[Any, Any], now_ms: float, until: Callable[[Any], float] = float
+def _drop_expired(
+    expiries: dict[Any, Any], now_ms: float, expiry_of: Callable[[Any], float] = float
 ) -> bool:
-    ended = [key for key, value in untils.items() if until(value) <= now_ms]
+    ended = [key for key, value in expiries.items() if expiry_of(value) <= now_ms]
     for key in ended:
-        del untils[key]
+        del expiries[key]
     return bool(ended)
--- a/src/pomelolane/coordination/client.py
+++ b/src/pomelolane/coordination/client.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from pomelolane.coordination.backoffs import EndpointBackoffs
 from pomelolane.coordination.epochs import PING
 from pomelolane.coordination.link import Link
-from pomelolane.coordination.rests import Rests
 from pomelolane.coordination.tickets import Ticket
 from pomelolane.messages import (
     Granted,
@@ -34,7 +34,7 @@
     from pomelolane.model import Tree
 
 _PAUSE_MS = 1000.0
-_DOUBT_MS = 1000.0
+_GRANT_DISTRUST_MS = 1000.0
 """Longer than two heartbeats take to bring the marks that were missed."""
 
 CLIENT_MESSAGES = (SubmitAck, SyncAck, NotScheduler, Granted, Refused)
@@ -53,13 +53,13 @@
         self._links: dict[str, Link] = {}
         self._tickets: dict[str, Ticket] = {}
         self._leaving: set[str] = set()
-        self._rests = Rests(context.clock)
-        self._starts: dict[str, int] = {}
+        self._backoffs = EndpointBackoffs(context.clock)
+        self._endpoint_starts_ms: dict[str, int] = {}
         self._retry_after_ms: dict[str, int] = {}
         self._pinged_ms = context.clock.now_ms()
         self._ran_ms = self._pinged_ms
-        self._doubt_until_ms = self._pinged_ms
-        self._doubted: set[str] = set()
+        self._distrust_until_ms = self._pinged_ms
+        self._distrusted_requests: set[str] = set()
         context.chooser.on_change(self._rechoose)
 
     # --- the port ---------------------------------------------------------
@@ -74,7 +74,7 @@
             return _not_run(Reason.NOT_READY, 1000, "the service is not configured")
         if handle.request_id in self._tickets:
             return _not_run(Reason.CLAIM_HELD, 0, "the request id is in use")
-        ticket = self._open(self._rests.excluded_from(handle))
+        ticket = self._open(self._backoffs.excluded_from(handle))
         link.add(ticket)
         try:
             return await ticket.answer
@@ -91,9 +91,9 @@
             del self._tickets[event.request_id]
         self._links[ticket.handle.service].observe(ticket, event)
 
-    def rest(self, service: str, endpoint_id: str, rest_ms: float) -> None:
+    def back_off(self, service: str, endpoint_id: str, rest_ms: float) -> None:
         """Use no grant for an endpoint for a time: it has asked this VM for rest."""
-        self._rests.begin(service, endpoint_id, rest_ms)
+        self._backoffs.start(service, endpoint_id, rest_ms)
 
     # --- the facade -------------------------------------------------------
 
@@ -106,20 +106,20 @@
         for service in [name for name in self._links if name not in tree.services]:
             self._close(service)
         self._leaving &= set(tree.endpoints)
-        self._forget_earlier_starts(tree)
+        self._clear_restarted_endpoints(tree)
 
-    def _forget_earlier_starts(self, tree: Tree) -> None:
+    def _clear_restarted_endpoints(self, tree: Tree) -> None:
         """Drop what endpoints said that have begun anew."""
         starts = {name: one.born_ms for name, one in tree.endpoints.items()}
-        anew = [
+        restarted = [
             name
             for name, born_ms in starts.items()
-            if self._starts.get(name, born_ms) != born_ms
+            if self._endpoint_starts_ms.get(name, born_ms) != born_ms
         ]
-        self._starts = starts
+        self._endpoint_starts_ms = starts
         for link in self._links.values():
-            link.limits.forget(anew)
-        self._rests.forget(anew)
+            link.limits.remove(restarted)
+        self._backoffs.remove(restarted)
 
     def mark_leaving(self, endpoint_id: str) -> None:
         """Use no further grant for an endpoint."""
@@ -132,9 +132,9 @@
     def tick(self) -> None:
         """Check deadlines, and schedulers that are silent."""
         now_ms = self._context.clock.now_ms()
-        self._notice_pause(now_ms)
-        if now_ms >= self._doubt_until_ms:
-            self._end_doubt()
+        self._detect_pause(now_ms)
+        if now_ms >= self._distrust_until_ms:
+            self._resubmit_distrusted()
         self._ping_suspects(now_ms)
         for link in list(self._links.values()):
             late = [t for t in link.waiting.values() if t.deadline_ms <= now_ms]
@@ -145,13 +145,13 @@
     def probe(self, service: str) -> None:
         """Find out at once whether the scheduler of a service is there."""
         link = self._links.get(service)
-        if link is not None and not link.is_alone:
+        if link is not None and not link.is_local:
             link.sync()
 
     @property
     def is_waiting(self) -> bool:
         """Whether anything here waits for a scheduler's word."""
-        return any(link.waiting or link.is_alone for link in self._links.values())
+        return any(link.waiting or link.is_local for link in self._links.values())
 
     def links(self) -> dict[str, Link]:
         """Return the links by service."""
@@ -161,61 +161,61 @@
 
     def receive(self, sender: str, message: Message) -> None:
         """Take a message of a scheduler."""
-        self._notice_pause(self._context.clock.now_ms())
-        self._context.chooser.heard(sender)
+        self._detect_pause(self._context.clock.now_ms())
+        self._context.chooser.note_alive(sender)
         match message:
             case Granted():
-                self._granted(sender, message)
+                self._handle_granted(sender, message)
             case Refused():
-                self._refused(sender, message)
+                self._handle_refused(sender, message)
             case SubmitAck():
-                self._submit_answered(sender, message)
+                self._handle_submit_ack(sender, message)
             case SyncAck():
-                self._sync_answered(sender, message)
+                self._handle_sync_ack(sender, message)
             case NotScheduler():
-                self._rejected(sender, message)
+                self._handle_not_scheduler(sender, message)
 
-    def _submit_answered(self, sender: str, message: SubmitAck) -> None:
+    def _handle_submit_ack(self, sender: str, message: SubmitAck) -> None:
         for link in self._links.values():
             if link.is_current(sender, message.epoch):
-                link.heard()
-                link.admitted(message.request_ids)
+                link.note_reply()
+                link.note_admitted(message.request_ids)
 
-    def _sync_answered(self, sender: str, message: SyncAck) -> None:
+    def _handle_sync_ack(self, sender: str, message: SyncAck) -> None:
         link = self._links.get(message.service)
-        if link is None or link.found(sender, message.epoch):
+        if link is None or link.accept_probe_reply(sender, message.epoch):
             return
         if link.is_current(sender, message.epoch):
-            link.heard()
-            link.sync_answered(message.missing, message.held)
+            link.note_reply()
+            link.note_sync_reply(message.missing, message.held)
 
-    def _rejected(self, sender: str, message: NotScheduler) -> None:
+    def _handle_not_scheduler(self, sender: str, message: NotScheduler) -> None:
         link = self._links.get(message.service)
         if link is None or not link.is_current(sender, message.epoch):
             return
-        link.rejected()
+        link.note_not_scheduler()
         chooser = self._context.chooser
         if message.scheduler:
             chooser.take_hint(message.service, message.scheduler)
         else:
             for_ms = self._context.timings.suspect_ms
-            chooser.pass_over(message.service, sender, for_ms)
+            chooser.exclude(message.service, sender, for_ms)
 
-    def _granted(self, sender: str, message: Granted) -> None:
+    def _handle_granted(self, sender: str, message: Granted) -> None:
         ticket = self._tickets.get(message.request_id)
         link = self._links.get(ticket.handle.service) if ticket else None
         if link is None or not link.is_current(sender, message.epoch):
             self._give_back(sender, message)
             return
-        link.heard()
+        link.note_reply()
         if ticket.endpoint_id:
-            self._granted_again(link, ticket, message)
-        elif self._context.clock.now_ms() < self._doubt_until_ms:
+            self._handle_repeated_grant(link, ticket, message)
+        elif self._context.clock.now_ms() < self._distrust_until_ms:
             self._give_back(sender, message)
-            self._doubted.add(ticket.request_id)
+            self._distrusted_requests.add(ticket.request_id)
         elif self._is_ruled_out(ticket, message.endpoint_id):
             self._give_back(sender, message)
-            self._look_elsewhere(link, ticket, message.endpoint_id)
+            self._resubmit_excluding(link, ticket, message.endpoint_id)
         else:
             link.grant(ticket, message.endpoint_id)
             grant = Grant(
@@ -223,37 +223,39 @@
             )
             _resolve(ticket, grant)
 
-    def _granted_again(self, link: Link, ticket: Ticket, message: Granted) -> None:
+    def _handle_repeated_grant(
+        self, link: Link, ticket: Ticket, message: Granted
+    ) -> None:
         # The same grant twice is harmless; another one means that the
         # scheduler has to learn where the request runs.
         if message.endpoint_id != ticket.endpoint_id:
-            link.sync_answered((ticket.request_id,), held=1)
+            link.note_sync_reply((ticket.request_id,), held=1)
 
-    def _notice_pause(self, now_ms: float) -> None:
+    def _detect_pause(self, now_ms: float) -> None:
         """Doubt all grants for a while after this process has not run.
 
         They may be older than a word on a leaving endpoint that waits in the
         same sockets, or come from a scheduler here that has not heard it yet.
         """
         if now_ms - self._ran_ms > _PAUSE_MS:
-            self._doubt_until_ms = now_ms + _DOUBT_MS
+            self._distrust_until_ms = now_ms + _GRANT_DISTRUST_MS
         self._ran_ms = now_ms
 
-    def _end_doubt(self) -> None:
+    def _resubmit_distrusted(self) -> None:
         """Ask anew for what was granted in doubt."""
-        for request_id in self._doubted:
+        for request_id in self._distrusted_requests:
             ticket = self._tickets.get(request_id)
             link = self._links.get(ticket.handle.service) if ticket else None
             if link is not None and request_id in link.waiting:
                 link.submit_again(ticket)
-        self._doubted.clear()
+        self._distrusted_requests.clear()
 
     def _is_ruled_out(self, ticket: Ticket, endpoint_id: str) -> bool:
-        if endpoint_id in self._leaving or self._rests.includes(endpoint_id):
+        if endpoint_id in self._leaving or self._backoffs.is_backing_off(endpoint_id):
             return True
         return endpoint_id in ticket.handle.excluded
 
-    def _look_elsewhere(self, link: Link, ticket: Ticket, endpoint_id: str) -> None:
+    def _resubmit_excluding(self, link: Link, ticket: Ticket, endpoint_id: str) -> None:
         excluded = {*ticket.handle.excluded, endpoint_id}
         ticket.handle = msgspec.structs.replace(
             ticket.handle, excluded=tuple(sorted(excluded))
@@ -269,12 +271,12 @@
             service = ticket.handle.service
         self._context.send(sender, service, withdraw)
 
-    def _refused(self, sender: str, message: Refused) -> None:
+    def _handle_refused(self, sender: str, message: Refused) -> None:
         ticket = self._tickets.get(message.request_id)
         link = self._links.get(ticket.handle.service) if ticket else None
         if link is None or not link.is_current(sender, message.epoch):
             return
-        link.heard()
+        link.note_reply()
         if ticket.endpoint_id:
             return
         self._retry_after_ms[link.service] = message.retry_after_ms
@@ -321,7 +323,7 @@
             self._finish(ticket, refusal)
         for ticket in list(link.running.values()):
             self._tickets.pop(ticket.request_id, None)
-        link.leave()
+        link.unfollow()
 
     def _ping_suspects(self, now_ms: float) -> None:
         if now_ms - self._pinged_ms < self._context.timings.running_sync_ms:
--- a/src/pomelolane/coordination/coordination.py
+++ b/src/pomelolane/coordination/coordination.py
@@ -13,8 +13,6 @@
 from pomelolane.coordination.client import CLIENT_MESSAGES, GatewayClient
 from pomelolane.coordination.epochs import Epochs
 from pomelolane.coordination.local_queues import LocalQueues
-from pomelolane.coordination.options import LOCAL, Timings
-from pomelolane.coordination.pace import PaceWatch
 from pomelolane.coordination.role import ROLE_MESSAGES, SchedulerRole
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
 from pomelolane.coordination.status import (
@@ -22,7 +20,9 @@
     link_status,
     service_queue_status,
 )
+from pomelolane.coordination.stragglers import StragglerLogger
 from pomelolane.coordination.tickets import LinkContext
+from pomelolane.coordination.timings import LOCAL, Timings
 from pomelolane.events import ENDPOINT_LEAVING, TASK_FAILED
 from pomelolane.logs import log_event
 from pomelolane.model import Tree
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from pomelolane.coordination.account import Account
+    from pomelolane.coordination.limit_account import LimitAccount
     from pomelolane.coordination.reports import ReportPoller
     from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.messages import Message
@@ -80,13 +80,13 @@
         self._on_endpoint_leaving = on_endpoint_leaving
         self._tree = Tree()
         self._leaving: set[str] = set()
-        self._told_leaving: set[str] = set()
+        self._reported_leaving: set[str] = set()
         self._tasks: list[asyncio.Task] = []
         self._handed_over = asyncio.Event()
-        self._pace = PaceWatch(clock)
+        self._straggler_logger = StragglerLogger(clock)
         self._chooser = Chooser(vm_id, membership, clock)
         # What a scheduler believes of others ages only while it runs itself.
-        steady = self._steady = SteadyClock(clock, self._settle_anew)
+        steady = self._steady = SteadyClock(clock, self._handle_resume)
         self._counted_pauses_ms = 0.0
         # The role hears of a change first, so that a gateway which follows
         # its own VM finds the desk there.
@@ -99,16 +99,16 @@
             steady,
             make_core,
             timings,
-            lambda: 1.0 / max(self._chooser.most_seen(), known_vms()),
-            self._dealt_to,
+            lambda: 1.0 / max(self._chooser.max_visible(), known_vms()),
+            self._slot_owners_for,
         )
-        self._chooser.on_change(self._rescope_local)
+        self._chooser.on_change(self._configure_local)
         self.client = GatewayClient(self._link_context(clock, incarnation))
-        self.role.on_doubt = self.client.probe
+        self.role.on_misdirected = self.client.probe
         self.poller = self._make_poller(clock, address_of) if polls_engines else None
         self._subscribe()
 
-    def _settle_anew(self) -> None:
+    def _handle_resume(self) -> None:
         """Hold grants and refusals after a pause: the books are out of date.
 
         Requests that came in meanwhile may have gone on elsewhere, and must not
@@ -119,9 +119,9 @@
         gateways = self._chooser.gateways()
         for service_queue in self.role.service_queues().values():
             service_queue.settle(gateways)
-            service_queue.note_pause(paused_ms)
+            service_queue.account_for_pause(paused_ms)
         for service_queue in self._local.service_queues().values():
-            service_queue.note_pause(paused_ms)
+            service_queue.account_for_pause(paused_ms)
 
     def _link_context(self, clock: Clock, incarnation: int) -> LinkContext:
         return LinkContext(
@@ -144,7 +144,7 @@
         self._leaving &= set(tree.endpoints)
         if self._is_shared:
             self.role.configure(tree)
-        self._rescope_local()
+        self._configure_local()
         self.client.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
@@ -174,7 +174,7 @@
             ReportPoller,
         )
 
-        options = PollerOptions(address_of, self._engine_leaves)
+        options = PollerOptions(address_of, self._engine_leaving)
         return ReportPoller(self._polled_service_queues, clock, options)
 
     # --- life -------------------------------------------------------------
@@ -196,7 +196,7 @@
         """Give up the roles; return when no other gateway follows this VM."""
         self._chooser.stop()
         self._handed_over.clear()
-        self._note_handover()
+        self._check_handover()
         await self._handed_over.wait()
 
     def tick(self) -> None:
@@ -213,8 +213,8 @@
         """Drive all cores."""
         self.role.tick()
         self._local.tick()
-        self._note_handover()
-        self._pace.look(self._polled_service_queues())
+        self._check_handover()
+        self._straggler_logger.check(self._polled_service_queues())
 
     def schedules(self, service: str) -> bool:
         """Tell whether this VM is the scheduler of a service."""
@@ -228,15 +228,15 @@
         """Return which VM schedules a service once its scheduler is gone, or ''."""
         return self._chooser.successor(service)
 
-    def heirs(self, service: str) -> frozenset[str]:
+    def standbys(self, service: str) -> frozenset[str]:
         """Return the VMs that take the role where the scheduler is lost."""
-        return self._chooser.heirs(service)
+        return self._chooser.standbys(service)
 
     def incarnation_of(self, vm_id: str) -> int:
         """Return the number of a VM's start, 0 while it is not in the view."""
         return self._chooser.incarnation_of(vm_id)
 
-    def private_accounts(self) -> dict[str, Account]:
+    def local_accounts(self) -> dict[str, LimitAccount]:
         """Return what this VM's gateway let pass alone, by service."""
         return self._local.accounts()
 
@@ -244,7 +244,7 @@
         """Return how many requests wait at this VM's desk of a service."""
         service_queue = self.role.service_queue(service)
         return (
-            sum(1 for _ in service_queue.book.waiting())
+            sum(1 for _ in service_queue.request_table.waiting())
             if service_queue is not None
             else 0
         )
@@ -289,15 +289,15 @@
     def _take_local_reply(self, message: Message) -> None:
         self.client.receive(LOCAL, message)
 
-    def _dealt_to(self) -> tuple[str, ...]:
-        return self._chooser.gateways_from_own() if self._is_shared else ()
+    def _slot_owners_for(self) -> tuple[str, ...]:
+        return self._chooser.gateways_own_first() if self._is_shared else ()
 
     def _share(self) -> float:
         if self._policy not in _SPLIT_POLICIES:
             return 1.0
         return 1.0 / len(self._chooser.gateways())
 
-    def _rescope_local(self) -> None:
+    def _configure_local(self) -> None:
         view = self._chooser.view()
         data_centres = reachable_data_centres(view, self._data_centre)
         self._local.configure(scoped_tree(self._tree, data_centres), self._share())
@@ -306,11 +306,11 @@
         held = [self.role.service_queue(name) for name in self.role.service_queues()]
         return [*filter(None, held), *self._local.service_queues().values()]
 
-    def _note_handover(self) -> None:
+    def _check_handover(self) -> None:
         if not self.role.is_followed_by_others():
             self._handed_over.set()
 
-    def _engine_leaves(self, endpoint_id: str) -> None:
+    def _engine_leaving(self, endpoint_id: str) -> None:
         """Mark an engine that says so, once for each VM that hears it.
 
         A mark is repeated by its makers only: whoever schedules the engine now
@@ -319,8 +319,8 @@
         if endpoint_id not in self._leaving:
             log_event(ENDPOINT_LEAVING, endpoint=endpoint_id, source="engine")
             self.mark_leaving(endpoint_id)
-        if endpoint_id not in self._told_leaving:
-            self._told_leaving.add(endpoint_id)
+        if endpoint_id not in self._reported_leaving:
+            self._reported_leaving.add(endpoint_id)
             self._on_endpoint_leaving(endpoint_id)
 
     @property
@@ -329,7 +329,7 @@
         service_queues = self.role.service_queues() or self._local.service_queues()
         if service_queues or self.client.is_waiting:
             return self._timings.client_tick_ms
-        return self._timings.calm_tick_ms
+        return self._timings.idle_tick_ms
 
     async def _tick_forever(self) -> None:
         # Half a tick early is on time: sleeps are a little longer than asked for.
@@ -398,11 +398,11 @@
         address_of or _declared_address,
         on_endpoint_leaving or _ignore,
         polls_engines,
-        known_vms or _known_to_none,
+        known_vms or _one_known_vm,
     )
 
 
-def _known_to_none() -> int:
+def _one_known_vm() -> int:
     """Stand in where VMs are known by the view alone."""
     return 1
 
--- a/src/pomelolane/coordination/decisions.py
+++ b/src/pomelolane/coordination/decisions.py
@@ -11,7 +11,7 @@
 from pomelolane.logs import log_event
 
 if TYPE_CHECKING:
-    from pomelolane.coordination.book import Entry
+    from pomelolane.coordination.request_table import Entry
     from pomelolane.outcomes import Refusal
     from pomelolane.ports import Grant, SchedulingCore
     from pomelolane.scheduler import Placement
--- a/src/pomelolane/coordination/epochs.py
+++ b/src/pomelolane/coordination/epochs.py
@@ -29,6 +29,6 @@
         return self._last
 
 
-def start_of(epoch: int) -> int:
+def incarnation_part(epoch: int) -> int:
     """Return the part of an epoch that stands for the gateway's start."""
     return epoch >> _COUNTER_BITS
--- a/src/pomelolane/coordination/account.py
+++ b/src/pomelolane/coordination/limit_account.py
@@ -13,7 +13,7 @@
     from pomelolane.scheduler.spans import Use
 
 
-class Account:
+class LimitAccount:
     """The account of one desk.
 
     Args:
@@ -81,6 +81,6 @@
         self._book.hear(source, uses, self._clock.now_ms(), adds=adds)
 
 
-def account_from_core(core: SchedulingCore, clock: Clock) -> Account:
+def account_from_core(core: SchedulingCore, clock: Clock) -> LimitAccount:
     """Return a core's account, an empty one where it shares no limits."""
-    return Account(getattr(core, "limits", None) or LimitBook(), clock)
+    return LimitAccount(getattr(core, "limits", None) or LimitBook(), clock)
--- a/src/pomelolane/coordination/limits.py
+++ b/src/pomelolane/coordination/limits.py
@@ -17,7 +17,7 @@
 _NONE = (math.inf, 0.0)
 
 
-class HeardLimits:
+class EndpointLimits:
     """Limits of one service's endpoints, the newest of each.
 
     Args:
@@ -28,7 +28,7 @@
         self._service = service
         self._limits: dict[str, tuple[float, float]] = {}
 
-    def hear(self, endpoint_id: str, limit_per_s: float, now_ms: float) -> None:
+    def record(self, endpoint_id: str, limit_per_s: float, now_ms: float) -> None:
         """Keep what an answer says.
 
         Args:
@@ -50,12 +50,12 @@
             limit_per_s="" if math.isinf(limit_per_s) else limit_per_s,
         )
 
-    def forget(self, endpoint_ids: Iterable[str]) -> None:
+    def remove(self, endpoint_ids: Iterable[str]) -> None:
         """Drop what was heard of endpoints that have begun anew."""
         for endpoint_id in endpoint_ids:
             self._limits.pop(endpoint_id, None)
 
-    def known(self, now_ms: float) -> tuple[NamedLimit, ...]:
+    def current(self, now_ms: float) -> tuple[NamedLimit, ...]:
         """Return the limits that stand."""
         self._limits = {
             endpoint_id: limit
--- a/src/pomelolane/coordination/link.py
+++ b/src/pomelolane/coordination/link.py
@@ -8,9 +8,9 @@
 
 from typing import TYPE_CHECKING
 
-from pomelolane.coordination.limits import HeardLimits
-from pomelolane.coordination.options import LOCAL
+from pomelolane.coordination.limits import EndpointLimits
 from pomelolane.coordination.progress import ProgressBatch
+from pomelolane.coordination.timings import LOCAL
 from pomelolane.events import LOCAL_FALLBACK, SCHEDULER_CHOSEN
 from pomelolane.logs import log_event
 from pomelolane.messages import (
@@ -30,8 +30,8 @@
     from pomelolane.messages import StreamEvent
 
 _HANDLES_PER_SUBMIT = 200
-_SHORT_LISTS = 32
-_QUESTIONS_BEFORE_ALONE = 3
+_MAX_SHORT_LIST = 32
+_MIN_UNANSWERED_BEFORE_FALLBACK = 3
 
 
 class Link:
@@ -46,7 +46,7 @@
         self.service = service
         self.waiting: dict[str, Ticket] = {}
         self.running: dict[str, Ticket] = {}
-        self.limits = HeardLimits(service)
+        self.limits = EndpointLimits(service)
         self.scheduler = LOCAL
         self.epoch = context.epochs.next()
         self._context = context
@@ -54,17 +54,17 @@
         self._unsent: dict[str, Ticket] = {}
         self._progress = ProgressBatch()
         self._flush_deferred = False
-        self._asked_ms: float | None = None
-        self._asks = 0
-        self._unheard_since_ms: float | None = None
-        self._questions = 0
-        self._synced_ms = context.clock.now_ms()
-        self._progressed_ms = self._synced_ms
-        self._syncs = 0
-        self._settled = True
+        self._awaiting_reply_since_ms: float | None = None
+        self._reply_timeouts = 0
+        self._silent_since_ms: float | None = None
+        self._unanswered = 0
+        self._last_sync_ms = context.clock.now_ms()
+        self._last_progress_ms = self._last_sync_ms
+        self._sync_count = 0
+        self._confirmed_empty = True
         self._retry_at_ms: float | None = None
-        self._candidate = (LOCAL, 0)
-        self._sought_ms = self._synced_ms
+        self._probe_target = (LOCAL, 0)
+        self._last_probe_ms = self._last_sync_ms
         self._is_started = False
         self._incarnation = 0
 
@@ -97,14 +97,14 @@
         self.waiting.pop(ticket.request_id, None)
         self.running.pop(ticket.request_id, None)
         self._unsent.pop(ticket.request_id, None)
-        self._settled = False
+        self._confirmed_empty = False
 
     def observe(self, ticket: Ticket, event: StreamEvent) -> None:
         """Pass on progress; what frees a slot goes at once."""
-        ticket.saw(event)
+        ticket.update_progress(event)
         if event.limit_per_s is not None:
             now_ms = self._context.clock.now_ms()
-            self.limits.hear(event.endpoint_id, event.limit_per_s, now_ms)
+            self.limits.record(event.endpoint_id, event.limit_per_s, now_ms)
         self._progress.add(event)
         if event.finished:
             self.drop(ticket)
@@ -135,7 +135,7 @@
     def _flush_progress(self) -> None:
         if not self._progress:
             return
-        self._progressed_ms = self._context.clock.now_ms()
+        self._last_progress_ms = self._context.clock.now_ms()
         events = self._progress.take()
         if not self.send(Progress(self.epoch, events)):
             for event in events:
@@ -147,32 +147,32 @@
         for start in range(0, len(running), _HANDLES_PER_SUBMIT):
             chunk = running[start : start + _HANDLES_PER_SUBMIT]
             registered = tuple(ticket.running_at(now_ms) for ticket in chunk)
-            self._ask(Submit(self.epoch, (), registered))
+            self._send_question(Submit(self.epoch, (), registered))
         for start in range(0, len(waiting), _HANDLES_PER_SUBMIT):
             chunk = waiting[start : start + _HANDLES_PER_SUBMIT]
             handles = tuple(ticket.handle_at(now_ms) for ticket in chunk)
-            self._ask(Submit(self.epoch, handles))
+            self._send_question(Submit(self.epoch, handles))
 
     def sync(self) -> None:
         """Tell the scheduler what is held, and see whether it is there."""
-        is_short = len(self.waiting) + len(self.running) <= _SHORT_LISTS
-        is_whole = is_short or self._syncs % self._timings.whole_every == 0
-        if self._syncs == 0:
+        is_short = len(self.waiting) + len(self.running) <= _MAX_SHORT_LIST
+        is_whole = is_short or self._sync_count % self._timings.full_sync_every == 0
+        if self._sync_count == 0:
             # A scheduler that was asked before it took the role has heard nothing.
-            self._tell_limits()
+            self._send_limits()
         waiting = tuple(self.waiting) if is_whole else ()
         running = tuple(self.running) if is_whole else ()
-        self._syncs += 1
-        self._synced_ms = self._context.clock.now_ms()
-        self._ask(Sync(self.epoch, self.service, is_whole, waiting, running))
+        self._sync_count += 1
+        self._last_sync_ms = self._context.clock.now_ms()
+        self._send_question(Sync(self.epoch, self.service, is_whole, waiting, running))
 
-    def _ask(self, message: Message) -> None:
+    def _send_question(self, message: Message) -> None:
         now_ms = self._context.clock.now_ms()
-        if self._asked_ms is None:
-            self._asked_ms = now_ms
-        if self._unheard_since_ms is None:
-            self._unheard_since_ms = now_ms
-        self._questions += 1
+        if self._awaiting_reply_since_ms is None:
+            self._awaiting_reply_since_ms = now_ms
+        if self._silent_since_ms is None:
+            self._silent_since_ms = now_ms
+        self._unanswered += 1
         self.send(message)
 
     # --- whom it follows --------------------------------------------------
@@ -181,42 +181,42 @@
         """Tell whether a message answers the present choice."""
         return sender == self.scheduler and epoch == self.epoch
 
-    def heard(self) -> None:
+    def note_reply(self) -> None:
         """Note that the scheduler has answered."""
-        self._forget_asks()
-        self._unheard_since_ms = None
-        self._questions = 0
+        self._reset_reply_timer()
+        self._silent_since_ms = None
+        self._unanswered = 0
 
-    def _forget_asks(self) -> None:
-        self._asked_ms = None
-        self._asks = 0
+    def _reset_reply_timer(self) -> None:
+        self._awaiting_reply_since_ms = None
+        self._reply_timeouts = 0
         self._retry_at_ms = None
 
-    def admitted(self, request_ids: Sequence[str]) -> None:
+    def note_admitted(self, request_ids: Sequence[str]) -> None:
         """Note requests that a scheduler has counted against limits."""
         for request_id in request_ids:
             ticket = self.waiting.get(request_id)
             if ticket is not None:
                 ticket.admitted = True
 
-    def sync_answered(self, missing: Sequence[str], held: int) -> None:
+    def note_sync_reply(self, missing: Sequence[str], held: int) -> None:
         """Register again what the scheduler does not know."""
         waiting = [self.waiting[name] for name in missing if name in self.waiting]
         running = [self.running[name] for name in missing if name in self.running]
         if waiting or running:
             self._submit(waiting, running)
-            self._syncs = 0
+            self._sync_count = 0
         elif held == 0 and not self.waiting and not self.running:
-            self._settled = True
+            self._confirmed_empty = True
 
-    def rejected(self) -> None:
+    def note_not_scheduler(self) -> None:
         """Ask again shortly: the VM does not see itself as the scheduler."""
-        self._syncs = 0
-        self._forget_asks()
+        self._sync_count = 0
+        self._reset_reply_timer()
         self._retry_at_ms = self._context.clock.now_ms() + self._timings.retry_ms
 
     @property
-    def is_alone(self) -> bool:
+    def is_local(self) -> bool:
         """Whether the gateway grants from its own share of slots."""
         return self.scheduler == LOCAL
 
@@ -225,8 +225,8 @@
         if self._context.always_local:
             return
         chosen = self._context.chooser.scheduler(self.service)
-        if self.is_alone and self._is_started:
-            self._seek(chosen)
+        if self.is_local and self._is_started:
+            self._probe(chosen)
         elif chosen != self.scheduler or self._has_restarted(chosen):
             self._follow(chosen, self._context.epochs.next())
 
@@ -240,19 +240,19 @@
             self.rechoose()
             self._is_started = True
 
-    def found(self, sender: str, epoch: int) -> bool:
+    def accept_probe_reply(self, sender: str, epoch: int) -> bool:
         """Go back to a scheduler that has answered while alone."""
-        if not self.is_alone or (sender, epoch) != self._candidate:
+        if not self.is_local or (sender, epoch) != self._probe_target:
             return False
         self._follow(sender, epoch)
         return True
 
-    def leave(self) -> None:
+    def unfollow(self) -> None:
         """Tell the scheduler that this gateway follows it no more."""
         self.send(Unfollow(self.epoch, self.service))
 
     def _follow(self, scheduler: str, epoch: int) -> None:
-        self.leave()
+        self.unfollow()
         self.scheduler = scheduler
         self.epoch = epoch
         self._incarnation = self._context.chooser.incarnation_of(scheduler)
@@ -263,35 +263,35 @@
             view=self._context.chooser.view().number,
             epoch=epoch,
         )
-        self._candidate = (LOCAL, 0)
-        self._forget_asks()
-        self._syncs = 0
-        self._settled = False
+        self._probe_target = (LOCAL, 0)
+        self._reset_reply_timer()
+        self._sync_count = 0
+        self._confirmed_empty = False
         self._unsent.clear()
-        self._tell_limits()
+        self._send_limits()
         self._submit(list(self.waiting.values()), list(self.running.values()))
         self._flush_progress()
         self.sync()
 
-    def _tell_limits(self) -> None:
-        known = self.limits.known(self._context.clock.now_ms())
-        if known:
-            self.send(LimitsHeard(self.epoch, self.service, known))
+    def _send_limits(self) -> None:
+        limits = self.limits.current(self._context.clock.now_ms())
+        if limits:
+            self.send(LimitsHeard(self.epoch, self.service, limits))
 
-    def _go_alone(self) -> None:
+    def _fall_back(self) -> None:
         log_event(
             LOCAL_FALLBACK, service=self.service, share=f"{self._context.share():.3f}"
         )
-        self._unheard_since_ms = None
+        self._silent_since_ms = None
         self._follow(LOCAL, self._context.epochs.next())
-        self._seek(self._context.chooser.scheduler(self.service))
+        self._probe(self._context.chooser.scheduler(self.service))
 
-    def _seek(self, chosen: str) -> None:
+    def _probe(self, chosen: str) -> None:
         """Ask, with nothing registered, whether a scheduler is there."""
-        if self._candidate[0] != chosen:
-            self._candidate = (chosen, self._context.epochs.next())
-        self._sought_ms = self._context.clock.now_ms()
-        question = Sync(self._candidate[1], self.service, whole=False)
+        if self._probe_target[0] != chosen:
+            self._probe_target = (chosen, self._context.epochs.next())
+        self._last_probe_ms = self._context.clock.now_ms()
+        question = Sync(self._probe_target[1], self.service, whole=False)
         self._context.send(chosen, self.service, question)
 
     # --- time -------------------------------------------------------------
@@ -299,63 +299,67 @@
     def tick(self) -> None:
         """Do what is due."""
         now_ms = self._context.clock.now_ms()
-        if now_ms - self._progressed_ms >= self._timings.progress_ms:
+        if now_ms - self._last_progress_ms >= self._timings.progress_ms:
             self._flush_progress()
         if self._context.always_local:
             return
-        if self.is_alone:
-            if now_ms - self._sought_ms >= self._timings.reply_ms:
-                self._seek(self._context.chooser.scheduler(self.service))
+        if self.is_local:
+            if now_ms - self._last_probe_ms >= self._timings.reply_ms:
+                self._probe(self._context.chooser.scheduler(self.service))
             return
-        self._watch(now_ms)
+        self._check_scheduler(now_ms)
 
-    def _watch(self, now_ms: float) -> None:
-        if self._is_unheard_too_long(now_ms):
-            self._go_alone()
+    def _check_scheduler(self, now_ms: float) -> None:
+        if self._is_silent_too_long(now_ms):
+            self._fall_back()
         elif self._is_reply_late(now_ms):
-            self._ask_again(now_ms)
+            self._retry(now_ms)
         elif self._retry_at_ms is not None and now_ms >= self._retry_at_ms:
             self._retry_at_ms = None
             self.sync()
         elif self._is_sync_due(now_ms):
             self.sync()
 
-    def _is_unheard_too_long(self, now_ms: float) -> bool:
-        since_ms = self._unheard_since_ms
+    def _is_silent_too_long(self, now_ms: float) -> bool:
+        since_ms = self._silent_since_ms
         if since_ms is None or not self.waiting:
             return False
         # A VM that was paused must not mistake its own pause for silence.
-        if self._questions < _QUESTIONS_BEFORE_ALONE:
+        if self._unanswered < _MIN_UNANSWERED_BEFORE_FALLBACK:
             return False
-        return now_ms - since_ms >= self._patient_ms(self._timings.fallback_ms)
+        return now_ms - since_ms >= self._tolerated_silence_ms(
+            self._timings.fallback_ms
+        )
 
-    def _patient_ms(self, silence_ms: float) -> float:
+    def _tolerated_silence_ms(self, silence_ms: float) -> float:
         """Return a silence, longer where the scheduler was suspected in vain."""
-        patience = self._context.chooser.patience(self.scheduler)
-        most_ms = max(silence_ms, self._timings.patience_ms)
-        return min(silence_ms * patience, most_ms)
+        factor = self._context.chooser.silence_factor(self.scheduler)
+        most_ms = max(silence_ms, self._timings.max_silence_ms)
+        return min(silence_ms * factor, most_ms)
 
     def _is_reply_late(self, now_ms: float) -> bool:
-        asked_ms = self._asked_ms
+        asked_ms = self._awaiting_reply_since_ms
         return asked_ms is not None and now_ms - asked_ms >= self._timings.reply_ms
 
     def _is_sync_due(self, now_ms: float) -> bool:
-        since_ms = now_ms - self._synced_ms
+        since_ms = now_ms - self._last_sync_ms
         if self.waiting:
             return since_ms >= self._timings.waiting_sync_ms
-        if self.running or not self._settled:
+        if self.running or not self._confirmed_empty:
             return since_ms >= self._timings.running_sync_ms
         return False
 
-    def _ask_again(self, now_ms: float) -> None:
-        self._asks += 1
-        self._asked_ms = now_ms
-        self._syncs = 0
+    def _retry(self, now_ms: float) -> None:
+        self._reply_timeouts += 1
+        self._awaiting_reply_since_ms = now_ms
+        self._sync_count = 0
         timings = self._timings
-        silence_ms = self._patient_ms(timings.reply_ms * timings.reply_attempts)
-        if self._asks * timings.reply_ms >= silence_ms:
+        silence_ms = self._tolerated_silence_ms(
+            timings.reply_ms * timings.reply_attempts
+        )
+        if self._reply_timeouts * timings.reply_ms >= silence_ms:
             silent = self.scheduler
-            self._asks = 0
+            self._reply_timeouts = 0
             self._context.chooser.suspect(silent, self._timings.suspect_ms)
             if self.scheduler != silent:
                 return
--- a/src/pomelolane/coordination/local_queues.py
+++ b/src/pomelolane/coordination/local_queues.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from pomelolane.coordination.account import Account
+from pomelolane.coordination.limit_account import LimitAccount
 from pomelolane.coordination.service_queues import ServiceQueues
 from pomelolane.messages import Unfollow
 from pomelolane.model import Tree
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from pomelolane.coordination.options import Timings
     from pomelolane.coordination.service_queue import ServiceQueue
+    from pomelolane.coordination.timings import Timings
     from pomelolane.messages import Message
     from pomelolane.ports import Clock, SchedulingCore
     from pomelolane.scheduler.limits import LimitBook
@@ -52,7 +52,7 @@
         make_core: Callable[[str], SchedulingCore],
         timings: Timings,
         rate_share: Callable[[], float],
-        dealt_to: Callable[[], tuple[str, ...]],
+        slot_owners_for: Callable[[], tuple[str, ...]],
     ) -> None:
         self._vm_id = vm_id
         self._reply = reply
@@ -70,7 +70,7 @@
             patient,
             lambda followers: self._share,
             rate_share,
-            lambda followers: dealt_to(),
+            lambda followers: slot_owners_for(),
         )
 
     def configure(self, tree: Tree, share: float) -> None:
@@ -95,9 +95,11 @@
         """Return the desks by service."""
         return self._service_queues.by_service()
 
-    def accounts(self) -> dict[str, Account]:
+    def accounts(self) -> dict[str, LimitAccount]:
         """Return what was let pass here, by service, also in earlier turns."""
-        return {name: Account(book, self._clock) for name, book in self._books.items()}
+        return {
+            name: LimitAccount(book, self._clock) for name, book in self._books.items()
+        }
 
     def _core_of(self, service: str) -> SchedulingCore:
         """Return a new core that goes on with what earlier ones let pass.
--- a/src/pomelolane/coordination/reports.py
+++ b/src/pomelolane/coordination/reports.py
@@ -84,8 +84,8 @@
         self._clock = clock
         self._options = options
         self._sequences: dict[str, int] = {}
-        self._places = asyncio.Semaphore(_CALLS_AT_ONCE)
-        self._asked: set[tuple[int, str]] = set()
+        self._call_slots = asyncio.Semaphore(_CALLS_AT_ONCE)
+        self._in_flight: set[tuple[int, str]] = set()
 
     async def run(self) -> None:
         """Ask in rounds until cancelled; no round waits for a slow engine."""
@@ -114,16 +114,16 @@
         endpoint: Endpoint,
     ) -> None:
         asked = (id(service_queue), endpoint.endpoint_id)
-        if asked in self._asked:
+        if asked in self._in_flight:
             return
-        self._asked.add(asked)
+        self._in_flight.add(asked)
         try:
-            async with self._places:
-                await self._ask(session, service_queue, endpoint)
+            async with self._call_slots:
+                await self._poll_load_and_events(session, service_queue, endpoint)
         finally:
-            self._asked.discard(asked)
+            self._in_flight.discard(asked)
 
-    async def _ask(
+    async def _poll_load_and_events(
         self,
         session: aiohttp.ClientSession,
         service_queue: ServiceQueue,
--- a/src/pomelolane/coordination/book.py
+++ b/src/pomelolane/coordination/request_table.py
@@ -39,7 +39,7 @@
     expected_ttft_ms: float = 0.0
     granted_ms: float = 0.0
     in_core: bool = False
-    absences: int = 0
+    missed_syncs: int = 0
     free_at_ms: float | None = None
 
     @property
@@ -52,7 +52,7 @@
         """Sort key: by tier, then by deadline."""
         return self.handle.tier_rank, self.deadline_ms
 
-    def is_of(self, gateway: str, handle: Handle) -> bool:
+    def is_same_attempt(self, gateway: str, handle: Handle) -> bool:
         """Tell whether a handle is this very attempt again."""
         return self.gateway == gateway and self.handle.attempt == handle.attempt
 
@@ -80,7 +80,7 @@
     entries: dict[str, Entry] = field(default_factory=dict)
 
 
-class Book:
+class RequestTable:
     """All entries of a service, by request and by gateway."""
 
     def __init__(self) -> None:
@@ -118,7 +118,7 @@
         self.remove(entry)
         entry.gateway = gateway
         entry.epoch = epoch
-        entry.absences = 0
+        entry.missed_syncs = 0
         entry.free_at_ms = None
         self.add(entry)
 
--- a/src/pomelolane/coordination/role.py
+++ b/src/pomelolane/coordination/role.py
@@ -30,8 +30,8 @@
     from collections.abc import Callable
 
     from pomelolane.coordination.chooser import Chooser
-    from pomelolane.coordination.options import Timings
     from pomelolane.coordination.service_queue import ServiceQueue
+    from pomelolane.coordination.timings import Timings
     from pomelolane.ports import Clock, Peer, SchedulingCore, Transport
 
 ROLE_MESSAGES = (Submit, Sync, Progress, Withdraw, Unfollow, LimitsHeard)
@@ -81,15 +81,15 @@
             clock,
             timings,
             lambda followers: 1.0,
-            chooser.seen_share,
-            self._dealt_to,
+            chooser.visible_share,
+            self._slot_owners_for,
         )
         self._lingering_since_ms: dict[str, float] = {}
         self._cores: dict[str, SchedulingCore] = {}
         self._gateways: dict[str, Peer] = {}
-        self._seen: frozenset[str] = frozenset()
+        self._known_gateways: frozenset[str] = frozenset()
         self._data_centres: frozenset[str] = frozenset()
-        self.on_doubt: Callable[[str], None] = _ignore
+        self.on_misdirected: Callable[[str], None] = _ignore
         self.on_taken: Callable[[str], None] = _ignore
         self.on_left: Callable[[str], None] = _ignore
         chooser.on_change(self.refresh)
@@ -99,7 +99,7 @@
     def configure(self, tree: Tree) -> None:
         """Adopt a settings tree."""
         self._tree = tree
-        self._service_queues.forget_marks_but_of(tree.endpoints)
+        self._service_queues.keep_marks_of(tree.endpoints)
         for service in [
             name for name in self.service_queues() if name not in tree.services
         ]:
@@ -122,14 +122,14 @@
             if not self._is_followed(service):
                 self._close(service)
 
-    def _dealt_to(self, followers: frozenset[str]) -> tuple[str, ...]:
+    def _slot_owners_for(self, followers: frozenset[str]) -> tuple[str, ...]:
         """Return the VMs among which a desk's slots are dealt, this one first.
 
         A VM that sees others of which none follows it may be the one that is
         cut off, while they follow a scheduler of their own.
         """
         if followers <= {self._vm_id}:
-            return self._chooser.gateways_from_own()
+            return self._chooser.gateways_own_first()
         return (self._vm_id,)
 
     def service_queue(self, service: str) -> ServiceQueue | None:
@@ -152,45 +152,45 @@
 
     def refresh(self) -> None:
         """Compare the roles with the view."""
-        self._rescope()
+        self._update_scope()
         self._drop_lost_gateways()
-        self._await_joined()
+        self._settle_for_joined()
         for service in self._tree.services:
             is_chosen = self._chooser.scheduler(service) == self._vm_id
             if is_chosen and self.service_queue(service) is None:
-                self._take(service)
+                self._acquire_role(service)
             elif not is_chosen and self.service_queue(service) is not None:
-                self._leave(service)
+                self._release_role(service)
 
     # --- messages ---------------------------------------------------------
 
     def receive(self, gateway: str, message: Message) -> None:
         """Take a message of a gateway."""
-        self._chooser.heard(gateway)
+        self._chooser.note_alive(gateway)
         match message:
             case Sync(epoch=epochs.PING):
                 self._transport.send(gateway, SyncAck(epochs.PING, message.service))
             case Submit():
-                self._submitted(gateway, message)
+                self._handle_submit(gateway, message)
             case Sync() | Unfollow() | LimitsHeard():
-                self._pass_on(gateway, message, message.service)
+                self._dispatch(gateway, message, message.service)
             case Progress() | Withdraw():
                 for service_queue in self._service_queues.all():
                     service_queue.receive(gateway, message)
 
-    def _submitted(self, gateway: str, message: Submit) -> None:
+    def _handle_submit(self, gateway: str, message: Submit) -> None:
         """Give each service of a submit to its desk; as a rule it is one."""
         handles = [*message.waiting, *(one.handle for one in message.running)]
         services = {handle.service for handle in handles}
         if len(services) == 1:
-            self._pass_on(gateway, message, services.pop())
+            self._dispatch(gateway, message, services.pop())
             return
         for service in services:
             waiting = tuple(h for h in message.waiting if h.service == service)
             running = tuple(r for r in message.running if r.handle.service == service)
-            self._pass_on(gateway, Submit(message.epoch, waiting, running), service)
+            self._dispatch(gateway, Submit(message.epoch, waiting, running), service)
 
-    def _pass_on(self, gateway: str, message: Message, service: str) -> None:
+    def _dispatch(self, gateway: str, message: Message, service: str) -> None:
         service_queue = self._service_queues.get(service)
         if service_queue is not None:
             service_queue.receive(gateway, message)
@@ -202,11 +202,11 @@
         chosen = self._chooser.scheduler(service) if known else ""
         self._transport.send(gateway, NotScheduler(epoch, service, chosen))
         if known:
-            self.on_doubt(service)
+            self.on_misdirected(service)
 
     # --- taking and leaving -----------------------------------------------
 
-    def _take(self, service: str) -> None:
+    def _acquire_role(self, service: str) -> None:
         log_event(SCHEDULER_ROLE, service=service, held=True)
         self._lingering_since_ms.pop(service, None)
         service_queue = self._service_queues.open(service, self._scoped_tree())
@@ -214,15 +214,15 @@
         service_queue.settle(self._chooser.gateways())
         self.on_taken(service)
 
-    def _await_joined(self) -> None:
+    def _settle_for_joined(self) -> None:
         """Settle again where those that join may hold what nobody has told.
 
         A VM that has just started takes the role before it sees the others;
         what its own gateway holds must not go past what waits with theirs.
         """
         gateways = self._chooser.gateways()
-        joined = gateways - self._seen
-        self._seen = gateways
+        joined = gateways - self._known_gateways
+        self._known_gateways = gateways
         for service in self._tree.services if joined else ():
             service_queue = self.service_queue(service)
             if service_queue is not None and service_queue.followers() <= {self._vm_id}:
@@ -236,7 +236,7 @@
             self._cores[service] = core
         return core
 
-    def _leave(self, service: str) -> None:
+    def _release_role(self, service: str) -> None:
         log_event(SCHEDULER_ROLE, service=service, held=False)
         self._lingering_since_ms[service] = self._clock.now_ms()
         self.on_left(service)
@@ -258,7 +258,7 @@
     def _scoped_tree(self) -> Tree:
         return scoped_tree(self._tree, self._data_centres)
 
-    def _rescope(self) -> None:
+    def _update_scope(self) -> None:
         view = self._chooser.view()
         data_centres = reachable_data_centres(view, self._data_centre)
         if data_centres == self._data_centres:
--- a/src/pomelolane/coordination/service_queue.py
+++ b/src/pomelolane/coordination/service_queue.py
@@ -9,12 +9,12 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from pomelolane.coordination.account import account_from_core
-from pomelolane.coordination.apart import kept_apart
-from pomelolane.coordination.book import Book, Entry, Follower
 from pomelolane.coordination.decisions import log_grant, log_refusal
-from pomelolane.coordination.epochs import start_of
+from pomelolane.coordination.epochs import incarnation_part
+from pomelolane.coordination.limit_account import account_from_core
+from pomelolane.coordination.request_table import Entry, Follower, RequestTable
 from pomelolane.coordination.scope import partitioned_tree
+from pomelolane.coordination.suspects import exclude_suspect_endpoints
 from pomelolane.messages import (
     Granted,
     Handle,
@@ -35,12 +35,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
 
-    from pomelolane.coordination.options import Timings
+    from pomelolane.coordination.timings import Timings
     from pomelolane.model import Endpoint, ServiceKind, Tree
     from pomelolane.ports import Clock, Decision, SchedulingCore
 
 TOP_RANK = 0
-_ABSENCES_UNTIL_GONE = 2
+_MAX_MISSED_SYNCS = 2
 
 
 class ServiceQueue:
@@ -66,45 +66,47 @@
         send: Callable[[str, Message], object],
         clock: Clock,
         timings: Timings,
-        share_of: Callable[[frozenset[str]], float],
+        slot_share_of: Callable[[frozenset[str]], float],
         rate_share: Callable[[], float] = lambda: 1.0,
-        dealt_to: Callable[[frozenset[str]], tuple[str, ...]] = lambda followers: (),
+        slot_owners_for: Callable[
+            [frozenset[str]], tuple[str, ...]
+        ] = lambda followers: (),
     ) -> None:
-        self._dealt_to = dealt_to
-        self._dealt: tuple[str, ...] = ()
+        self._slot_owners_for = slot_owners_for
+        self._slot_owners: tuple[str, ...] = ()
         self._rate_share = rate_share
         self.service = service
         self.core = core
         self.account = account_from_core(core, clock)
-        self.book = Book()
+        self.request_table = RequestTable()
         self._send = send
         self._clock = clock
         self._timings = timings
-        self._share_of = share_of
+        self._slot_share_of = slot_share_of
         self._share = 1.0
         self._leaving: set[str] = set()
-        self._limited: frozenset[str] = frozenset()
+        self._limited_ids: frozenset[str] = frozenset()
         self._tree: Tree | None = None
         self._settle_by_ms: float | None = None
-        self._top_only = False
-        self._awaited: frozenset[str] = frozenset()
+        self._top_tier_only = False
+        self._awaited_gateways: frozenset[str] = frozenset()
 
     # --- what the role does with it ---------------------------------------
 
     def configure(self, tree: Tree) -> None:
         """Adopt a settings tree, already cut down to what may be granted."""
         self._tree = tree
-        self._dealt = self._dealt_to(self.followers())
-        marked = self._with_marks(tree)
-        if len(self._dealt) > 1:
-            self._limited = self._limited_endpoints()
+        self._slot_owners = self._slot_owners_for(self.followers())
+        marked = self._with_leaving_marks(tree)
+        if len(self._slot_owners) > 1:
+            self._limited_ids = self._limited_endpoints()
             marked = partitioned_tree(
-                marked, self._dealt[0], self._dealt, self._limited
+                marked, self._slot_owners[0], self._slot_owners, self._limited_ids
             )
-        self._carry_out(self.core.configure(marked, self._clock.now_ms()))
+        self._apply_decisions(self.core.configure(marked, self._clock.now_ms()))
         self._update_share()
 
-    def _with_marks(self, tree: Tree) -> Tree:
+    def _with_leaving_marks(self, tree: Tree) -> Tree:
         """Return the tree with the marked endpoints declared as leaving.
 
         A core that is told of the marks only after the tree would open them for
@@ -126,7 +128,7 @@
         now_ms = self._clock.now_ms()
         if self._tree is not None:
             self.configure(self._tree)
-        self._carry_out(self.core.mark_returned(endpoint_id, now_ms))
+        self._apply_decisions(self.core.mark_returned(endpoint_id, now_ms))
 
     def settle(self, gateways: Iterable[str]) -> None:
         """Hold all grants until these gateways have registered, or a while.
@@ -135,13 +137,13 @@
         views differ for a second after a VM has died, and a gateway that still
         follows the dead one may have higher tiers waiting.
         """
-        self._awaited = frozenset(gateways)
-        self._top_only = False
+        self._awaited_gateways = frozenset(gateways)
+        self._top_tier_only = False
         self._settle_by_ms = self._clock.now_ms() + self._timings.settle_ms
-        for follower in self.book.followers.values():
+        for follower in self.request_table.followers.values():
             follower.registered = False
 
-    def note_pause(self, paused_ms: float) -> None:
+    def account_for_pause(self, paused_ms: float) -> None:
         """Count a pause of this VM as time that the callers have waited.
 
         The desk's clock stood still, so that their deadlines seem further away than
@@ -150,18 +152,18 @@
         Args:
             paused_ms: How long the VM did not run.
         """
-        waiting = self.book.waiting()
+        waiting = self.request_table.waiting()
         # All leave the book first, so that no withdrawal grants another one.
         for entry in waiting:
-            self.book.remove(entry)
+            self.request_table.remove(entry)
         now_ms = self._clock.now_ms()
         for entry in waiting:
             if entry.in_core:
-                self._carry_out(self.core.withdraw(entry.request_id, now_ms))
+                self._apply_decisions(self.core.withdraw(entry.request_id, now_ms))
             entry.in_core = False
             entry.deadline_ms -= paused_ms
         for entry in waiting:
-            self.book.add(entry)
+            self.request_table.add(entry)
         self._queue_known(waiting)
 
     @property
@@ -175,20 +177,20 @@
         self._drop_silent(now_ms)
         self._update_share()
         self._end_settling(now_ms)
-        due = [e for e in self.book.orphans.values() if e.free_at_ms <= now_ms]
+        due = [e for e in self.request_table.orphans.values() if e.free_at_ms <= now_ms]
         for entry in due:
-            self._forget(entry)
-        self._carry_out(self.core.tick(now_ms))
+            self._remove(entry)
+        self._apply_decisions(self.core.tick(now_ms))
 
     def drop_gateway(self, gateway: str) -> None:
         """Forget a gateway; slots of its requests are held for a while."""
-        follower = self.book.followers.pop(gateway, None)
+        follower = self.request_table.followers.pop(gateway, None)
         if follower is not None:
             self._abandon(follower)
 
     def followers(self) -> frozenset[str]:
         """Return the gateways that follow this desk."""
-        return frozenset(self.book.followers)
+        return frozenset(self.request_table.followers)
 
     def endpoints(self, kind: ServiceKind) -> list[Endpoint]:
         """Return the endpoints that it may grant, if its service is of a kind."""
@@ -202,13 +204,13 @@
 
     def close(self) -> None:
         """Forget everything but what the core has learnt."""
-        self.book.followers.clear()
-        self._forget_all(list(self.book.entries.values()))
+        self.request_table.followers.clear()
+        self._remove_all(list(self.request_table.entries.values()))
         self._settle_by_ms = None
 
     def apply(self, decisions: Sequence[Decision]) -> None:
         """Carry out decisions that a call on the core has returned."""
-        self._carry_out(decisions)
+        self._apply_decisions(decisions)
 
     # --- messages ---------------------------------------------------------
 
@@ -216,19 +218,19 @@
         """Take a message of a gateway; kinds for other parts are ignored."""
         match message:
             case Submit():
-                self._submitted(gateway, message)
+                self._handle_submit(gateway, message)
             case Sync():
-                self._synced(gateway, message)
+                self._handle_sync(gateway, message)
             case Progress():
-                self._progressed(gateway, message)
+                self._handle_progress(gateway, message)
             case Withdraw():
-                self._withdrawn(gateway, message)
+                self._handle_withdraw(gateway, message)
             case Unfollow():
-                self._unfollowed(gateway, message)
+                self._handle_unfollow(gateway, message)
             case LimitsHeard():
-                self._limits_heard(gateway, message)
+                self._handle_limits(gateway, message)
 
-    def _submitted(self, gateway: str, message: Submit) -> None:
+    def _handle_submit(self, gateway: str, message: Submit) -> None:
         if self._follower(gateway, message.epoch) is None:
             return
         for running in message.running:
@@ -242,10 +244,10 @@
             self._send(gateway, SubmitAck(message.epoch, tuple(queued)))
 
     def _is_waiting(self, handle: Handle) -> bool:
-        entry = self.book.get(handle.request_id)
+        entry = self.request_table.get(handle.request_id)
         return entry is not None and not entry.endpoint_id
 
-    def _synced(self, gateway: str, message: Sync) -> None:
+    def _handle_sync(self, gateway: str, message: Sync) -> None:
         follower = self._follower(gateway, message.epoch)
         if follower is None:
             return
@@ -256,7 +258,7 @@
         ]
         missing += [name for name in message.running if name not in follower.entries]
         if message.whole:
-            self._count_absences(follower, message)
+            self._count_missed_syncs(follower, message)
         held = len(follower.entries)
         answer = SyncAck(message.epoch, self.service, tuple(missing), held)
         self._send(gateway, answer)
@@ -265,7 +267,7 @@
         self._end_settling(self._clock.now_ms())
 
     def _confirm_waiting(self, gateway: str, epoch: int, request_id: str) -> bool:
-        entry = self.book.get(request_id)
+        entry = self.request_table.get(request_id)
         if entry is None or entry.gateway != gateway:
             return False
         entry.epoch = epoch
@@ -273,51 +275,56 @@
             self._send_granted(entry)
         return True
 
-    def _count_absences(self, follower: Follower, message: Sync) -> None:
+    def _count_missed_syncs(self, follower: Follower, message: Sync) -> None:
         listed = {*message.waiting, *message.running}
         for entry in list(follower.entries.values()):
-            entry.absences = 0 if entry.request_id in listed else entry.absences + 1
-            if entry.absences >= _ABSENCES_UNTIL_GONE:
-                self._forget(entry)
+            entry.missed_syncs = (
+                0 if entry.request_id in listed else entry.missed_syncs + 1
+            )
+            if entry.missed_syncs >= _MAX_MISSED_SYNCS:
+                self._remove(entry)
 
-    def _progressed(self, gateway: str, message: Progress) -> None:
+    def _handle_progress(self, gateway: str, message: Progress) -> None:
         now_ms = self._clock.now_ms()
         for event in message.events:
-            entry = self.book.get(event.request_id)
+            entry = self.request_table.get(event.request_id)
             if entry is None or entry.gateway != gateway or not entry.in_core:
                 continue
             if event.finished:
-                self.book.remove(entry)
-            self._carry_out(self.core.observe(event, now_ms))
+                self.request_table.remove(entry)
+            self._apply_decisions(self.core.observe(event, now_ms))
             if event.limit_per_s is not None:
-                self._note_limited()
+                self._reassign_limited()
 
-    def _withdrawn(self, gateway: str, message: Withdraw) -> None:
+    def _handle_withdraw(self, gateway: str, message: Withdraw) -> None:
         for request_id in message.request_ids:
-            entry = self.book.get(request_id)
+            entry = self.request_table.get(request_id)
             known = entry is not None and entry.gateway == gateway
             if known and message.epoch >= entry.epoch:
-                self._forget(entry)
+                self._remove(entry)
 
-    def _limits_heard(self, gateway: str, message: LimitsHeard) -> None:
+    def _handle_limits(self, gateway: str, message: LimitsHeard) -> None:
         hear_limit = getattr(self.core, "hear_limit", None)
         if hear_limit is None or self._follower(gateway, message.epoch) is None:
             return
         now_ms = self._clock.now_ms()
         for one in message.limits:
             hear_limit(one.endpoint_id, one.limit_per_s, now_ms - one.age_ms, now_ms)
-        self._note_limited()
+        self._reassign_limited()
 
-    def _note_limited(self) -> None:
+    def _reassign_limited(self) -> None:
         """Deal the slots anew where other endpoints than before name a rate."""
-        if len(self._dealt) > 1 and self._limited_endpoints() != self._limited:
+        if (
+            len(self._slot_owners) > 1
+            and self._limited_endpoints() != self._limited_ids
+        ):
             self.configure(self._tree)
 
     def _limited_endpoints(self) -> frozenset[str]:
         return getattr(self.core, "limited_endpoints", frozenset)()
 
-    def _unfollowed(self, gateway: str, message: Unfollow) -> None:
-        follower = self.book.followers.get(gateway)
+    def _handle_unfollow(self, gateway: str, message: Unfollow) -> None:
+        follower = self.request_table.followers.get(gateway)
         if follower is not None and message.epoch >= follower.epoch:
             self.drop_gateway(gateway)
 
@@ -326,13 +333,15 @@
     def _follower(self, gateway: str, epoch: int) -> Follower | None:
         """Return the sender's record, or None where its message is old."""
         now_ms = self._clock.now_ms()
-        follower = self.book.followers.get(gateway)
-        if follower is not None and start_of(epoch) > start_of(follower.epoch):
+        follower = self.request_table.followers.get(gateway)
+        if follower is not None and incarnation_part(epoch) > incarnation_part(
+            follower.epoch
+        ):
             self.drop_gateway(gateway)
             follower = None
         if follower is None:
             follower = Follower(epoch, now_ms)
-            self.book.followers[gateway] = follower
+            self.request_table.followers[gateway] = follower
             self._update_share()
         if epoch < follower.epoch:
             return None
@@ -341,11 +350,11 @@
         return follower
 
     def _take_waiting(self, gateway: str, epoch: int, handle: Handle) -> None:
-        entry = self.book.get(handle.request_id)
+        entry = self.request_table.get(handle.request_id)
         if entry is not None and (
-            not entry.is_of(gateway, handle) or entry.free_at_ms is not None
+            not entry.is_same_attempt(gateway, handle) or entry.free_at_ms is not None
         ):
-            self._forget(entry)
+            self._remove(entry)
             entry = None
         if entry is None:
             entry = self._open(gateway, epoch, handle)
@@ -357,13 +366,13 @@
             self._send_granted(entry)
 
     def _take_running(self, gateway: str, epoch: int, running: RunningHandle) -> None:
-        entry = self.book.get(running.handle.request_id)
+        entry = self.request_table.get(running.handle.request_id)
         if entry is not None and entry.endpoint_id == running.endpoint_id:
             # Its slot must not be free for a moment, or another would get it.
-            self.book.adopt(entry, gateway, epoch)
+            self.request_table.adopt(entry, gateway, epoch)
             return
         if entry is not None:
-            self._forget(entry)
+            self._remove(entry)
         now_ms = self._clock.now_ms()
         entry = self._open(gateway, epoch, running.handle)
         entry.endpoint_id = running.endpoint_id
@@ -374,7 +383,7 @@
     def _open(self, gateway: str, epoch: int, handle: Handle) -> Entry:
         now_ms = self._clock.now_ms()
         entry = Entry(handle, gateway, epoch, now_ms, now_ms + handle.budget_ms)
-        self.book.add(entry)
+        self.request_table.add(entry)
         return entry
 
     def _queue(self, entry: Entry) -> None:
@@ -382,29 +391,31 @@
         entry.in_core = True
         endpoints = self._tree.endpoints.values() if self._tree else ()
         own = (one for one in endpoints if one.service == self.service)
-        handle = kept_apart(entry.handle_at(now_ms), self.book.entries.values(), own)
-        self._carry_out(self.core.submit(handle, now_ms))
+        handle = exclude_suspect_endpoints(
+            entry.handle_at(now_ms), self.request_table.entries.values(), own
+        )
+        self._apply_decisions(self.core.submit(handle, now_ms))
 
-    def _forget(self, entry: Entry) -> None:
-        self.book.remove(entry)
+    def _remove(self, entry: Entry) -> None:
+        self.request_table.remove(entry)
         if entry.in_core:
             now_ms = self._clock.now_ms()
-            self._carry_out(self.core.withdraw(entry.request_id, now_ms))
+            self._apply_decisions(self.core.withdraw(entry.request_id, now_ms))
 
     def _abandon(self, follower: Follower) -> None:
         """Drop what waits; hold the slots that an engine may still use."""
         entries = list(follower.entries.values())
         for entry in entries:
             if entry.endpoint_id:
-                self.book.orphan(entry, self._expected_end_ms(entry))
-        self._forget_all([entry for entry in entries if not entry.endpoint_id])
+                self.request_table.orphan(entry, self._expected_end_ms(entry))
+        self._remove_all([entry for entry in entries if not entry.endpoint_id])
 
-    def _forget_all(self, entries: Sequence[Entry]) -> None:
+    def _remove_all(self, entries: Sequence[Entry]) -> None:
         # All leave the book first, so that no withdrawal grants another one.
         for entry in entries:
-            self.book.remove(entry)
+            self.request_table.remove(entry)
         for entry in entries:
-            self._forget(entry)
+            self._remove(entry)
 
     def _expected_end_ms(self, entry: Entry) -> float:
         now_ms = self._clock.now_ms()
@@ -418,14 +429,17 @@
         return min(max(end_ms, earliest_ms), latest_ms)
 
     def _mark_leaving(self, endpoint_id: str) -> None:
-        self._carry_out(self.core.mark_leaving(endpoint_id, self._clock.now_ms()))
+        self._apply_decisions(self.core.mark_leaving(endpoint_id, self._clock.now_ms()))
 
     def _update_share(self) -> None:
-        share = self._share_of(self.followers())
+        share = self._slot_share_of(self.followers())
         if share != self._share:
             self._share = share
-            self._carry_out(self.core.limit_slots(share, self._clock.now_ms()))
-        if self._tree is not None and self._dealt_to(self.followers()) != self._dealt:
+            self._apply_decisions(self.core.limit_slots(share, self._clock.now_ms()))
+        if (
+            self._tree is not None
+            and self._slot_owners_for(self.followers()) != self._slot_owners
+        ):
             self.configure(self._tree)
         limit_rates = getattr(self.core, "limit_rates", None)
         if limit_rates is not None:
@@ -435,7 +449,7 @@
         oldest_ms = now_ms - self._timings.follower_silence_ms
         silent = [
             gateway
-            for gateway, follower in self.book.followers.items()
+            for gateway, follower in self.request_table.followers.items()
             if follower.entries and follower.heard_ms < oldest_ms
         ]
         for gateway in silent:
@@ -444,46 +458,46 @@
     def _end_settling(self, now_ms: float) -> None:
         if self._settle_by_ms is None:
             return
-        followers = self.book.followers
+        followers = self.request_table.followers
         registered = {name for name, one in followers.items() if one.registered}
-        if self._awaited <= registered:
+        if self._awaited_gateways <= registered:
             self._settle_by_ms = None
         elif now_ms < self._settle_by_ms:
             return
-        elif self._top_only:
+        elif self._top_tier_only:
             self._settle_by_ms = None
         else:
-            self._top_only = True
+            self._top_tier_only = True
             self._settle_by_ms = now_ms + self._timings.settle_lower_ms
-        self._queue_known(self.book.waiting())
+        self._queue_known(self.request_table.waiting())
 
     def _queue_known(self, entries: Sequence[Entry]) -> None:
         """Queue the entries that are still there, most urgent first."""
         for entry in sorted(entries, key=lambda one: one.urgency):
-            known = entry.request_id in self.book.entries
+            known = entry.request_id in self.request_table.entries
             if known and not entry.in_core and self._may_queue(entry):
                 self._queue(entry)
 
     def _may_queue(self, entry: Entry) -> bool:
         if self._settle_by_ms is None:
             return True
-        return self._top_only and entry.handle.tier_rank == TOP_RANK
+        return self._top_tier_only and entry.handle.tier_rank == TOP_RANK
 
     # --- decisions --------------------------------------------------------
 
-    def _carry_out(self, decisions: Sequence[Decision]) -> None:
+    def _apply_decisions(self, decisions: Sequence[Decision]) -> None:
         for decision in decisions:
-            entry = self.book.get(decision.request_id)
+            entry = self.request_table.get(decision.request_id)
             if isinstance(decision.result, Grant):
-                self._granted(entry, decision.result)
+                self._commit_grant(entry, decision.result)
             elif entry is not None:
-                self.book.remove(entry)
-                self._refused(entry, decision)
+                self.request_table.remove(entry)
+                self._send_refusal(entry, decision)
 
-    def _granted(self, entry: Entry | None, grant: Grant) -> None:
+    def _commit_grant(self, entry: Entry | None, grant: Grant) -> None:
         now_ms = self._clock.now_ms()
         if entry is None:
-            self._carry_out(self.core.withdraw(grant.request_id, now_ms))
+            self._apply_decisions(self.core.withdraw(grant.request_id, now_ms))
             return
         entry.endpoint_id = grant.endpoint_id
         entry.expected_ttft_ms = grant.expected_ttft_ms
@@ -497,13 +511,13 @@
         )
         self._send(entry.gateway, message)
 
-    def _refused(self, entry: Entry, decision: Decision) -> None:
+    def _send_refusal(self, entry: Entry, decision: Decision) -> None:
         refusal = decision.result
         message = Refused(
             entry.epoch, entry.request_id, refusal.reason, refusal.retry_after_ms
         )
         self._send(entry.gateway, message)
-        log_refusal(entry, refusal, len(self.book.entries))
+        log_refusal(entry, refusal, len(self.request_table.entries))
 
 
 def _urgency(handle: Handle) -> tuple[int, int]:
--- a/src/pomelolane/coordination/service_queues.py
+++ b/src/pomelolane/coordination/service_queues.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from pomelolane.coordination.options import Timings
+    from pomelolane.coordination.timings import Timings
     from pomelolane.messages import Message
     from pomelolane.model import Tree
     from pomelolane.ports import Clock, SchedulingCore
@@ -38,17 +38,17 @@
         send: Callable[[str, Message], None],
         clock: Clock,
         timings: Timings,
-        share_of: Callable[[frozenset[str]], float],
+        slot_share_of: Callable[[frozenset[str]], float],
         rate_share: Callable[[], float],
-        dealt_to: Callable[[frozenset[str]], tuple[str, ...]],
+        slot_owners_for: Callable[[frozenset[str]], tuple[str, ...]],
     ) -> None:
-        self._dealt_to = dealt_to
+        self._slot_owners_for = slot_owners_for
         self._rate_share = rate_share
         self._make_core = make_core
         self._send = send
         self._clock = clock
         self._timings = timings
-        self._share_of = share_of
+        self._slot_share_of = slot_share_of
         self._service_queues: dict[str, ServiceQueue] = {}
         self._leaving: set[str] = set()
 
@@ -74,9 +74,9 @@
                 self._send,
                 self._clock,
                 self._timings,
-                self._share_of,
+                self._slot_share_of,
                 self._rate_share,
-                self._dealt_to,
+                self._slot_owners_for,
             )
             self._service_queues[service] = service_queue
             for endpoint_id in self._leaving:
@@ -107,7 +107,7 @@
         for service_queue in self.all():
             service_queue.mark_returned(endpoint_id)
 
-    def forget_marks_but_of(self, endpoint_ids: Iterable[str]) -> None:
+    def keep_marks_of(self, endpoint_ids: Iterable[str]) -> None:
         """Drop the marks of endpoints that are declared no more."""
         self._leaving &= set(endpoint_ids)
 
--- a/src/pomelolane/coordination/status.py
+++ b/src/pomelolane/coordination/status.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from pomelolane.coordination.options import LOCAL
+from pomelolane.coordination.timings import LOCAL
 
 if TYPE_CHECKING:
     from pomelolane.coordination.link import Link
@@ -78,7 +78,7 @@
 
 def service_queue_status(service_queue: ServiceQueue) -> ServiceQueueStatus:
     """Return the status of a desk."""
-    entries = service_queue.book.entries.values()
+    entries = service_queue.request_table.entries.values()
     waiting = Counter(e.handle.tier_rank for e in entries if not e.endpoint_id)
     running = Counter(e.endpoint_id for e in entries if e.endpoint_id)
     read_core = getattr(service_queue.core, "status", None)
@@ -100,5 +100,5 @@
         epoch=link.epoch,
         waiting=len(link.waiting),
         running=len(link.running),
-        limits=link.limits.known(now_ms),
+        limits=link.limits.current(now_ms),
     )
--- a/src/pomelolane/coordination/pace.py
+++ b/src/pomelolane/coordination/stragglers.py
@@ -19,7 +19,7 @@
 PERIOD_MS = 500.0
 
 
-class PaceWatch:
+class StragglerLogger:
     """Compares the endpoints' states between two looks.
 
     Args:
@@ -31,7 +31,7 @@
         self._next_ms = 0.0
         self._straggling: set[str] = set()
 
-    def look(self, service_queues: Iterable[ServiceQueue]) -> None:
+    def check(self, service_queues: Iterable[ServiceQueue]) -> None:
         """Log what changed since the last look, a few times a second at most."""
         now_ms = self._clock.now_ms()
         if now_ms < self._next_ms:
--- a/src/pomelolane/coordination/watch.py
+++ b/src/pomelolane/coordination/stream_reporter.py
@@ -16,7 +16,7 @@
 REPORT_EVERY_MS = 250.0
 
 
-class StreamWatch:
+class StreamReporter:
     """Reports on one dispatched attempt.
 
     Attributes:
@@ -36,12 +36,12 @@
         self._done = False
         self._limit_per_s: float | None = None
 
-    def dispatched(self) -> None:
+    def note_dispatch(self) -> None:
         """Note that the first byte of the request leaves now."""
         self._begun_ms = self._clock.now_ms()
         self._reported_ms = self._begun_ms
 
-    def noticed(self, limit_per_s: float | None) -> None:
+    def note_limit(self, limit_per_s: float | None) -> None:
         """Pass on with the next report what rate the endpoint asks for.
 
         Args:
@@ -50,7 +50,7 @@
         if limit_per_s is not None:
             self._limit_per_s = limit_per_s
 
-    def first(self) -> None:
+    def note_first_byte(self) -> None:
         """Note the first byte of the answer."""
         if self.ttft_ms >= 0:
             return
@@ -59,7 +59,7 @@
         self._reported_ms = now_ms
         self._report(ttft_ms=self.ttft_ms)
 
-    def progress(self, tokens: int) -> None:
+    def note_tokens(self, tokens: int) -> None:
         """Note the token events so far; reported a few times a second."""
         self._tokens = tokens
         now_ms = self._clock.now_ms()
--- a/src/pomelolane/coordination/apart.py
+++ b/src/pomelolane/coordination/suspects.py
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from pomelolane.coordination.book import Entry
+    from pomelolane.coordination.request_table import Entry
     from pomelolane.messages import Handle
     from pomelolane.model import Endpoint
 
 
-def kept_apart(
+def exclude_suspect_endpoints(
     handle: Handle, entries: Iterable[Entry], endpoints: Iterable[Endpoint]
 ) -> Handle:
     """Return a suspect's handle without the endpoints that run another suspect.
--- a/src/pomelolane/coordination/tickets.py
+++ b/src/pomelolane/coordination/tickets.py
@@ -16,7 +16,7 @@
 
     from pomelolane.coordination.chooser import Chooser
     from pomelolane.coordination.epochs import Epochs
-    from pomelolane.coordination.options import Timings
+    from pomelolane.coordination.timings import Timings
     from pomelolane.messages import Handle, Message, StreamEvent
     from pomelolane.ports import Clock
 
@@ -59,7 +59,7 @@
             self.handle_at(now_ms), self.endpoint_id, self.decoded_tokens, self.started
         )
 
-    def saw(self, event: StreamEvent) -> None:
+    def update_progress(self, event: StreamEvent) -> None:
         """Keep what an event tells of the request's progress."""
         self.started = self.started or event.ttft_ms >= 0 or event.tokens > 0
         self.decoded_tokens += event.tokens
--- a/src/pomelolane/coordination/options.py
+++ b/src/pomelolane/coordination/timings.py
@@ -43,16 +43,16 @@
     """
 
     client_tick_ms: float = 25.0
-    calm_tick_ms: float = 100.0
+    idle_tick_ms: float = 100.0
     role_tick_ms: float = 50.0
     reply_ms: float = 300.0
     reply_attempts: int = 2
-    patience_ms: float = 1200.0
+    max_silence_ms: float = 1200.0
     suspect_ms: float = 5000.0
     retry_ms: float = 100.0
     waiting_sync_ms: float = 300.0
     running_sync_ms: float = 1000.0
-    whole_every: int = 4
+    full_sync_every: int = 4
     progress_ms: float = 250.0
     fallback_ms: float = 1500.0
     settle_ms: float = 300.0
--- a/src/pomelolane/forwarding/failures.py
+++ b/src/pomelolane/forwarding/failures.py
@@ -13,7 +13,7 @@
 from pomelolane.outcomes import Outcome, Reason, Refusal
 
 if TYPE_CHECKING:
-    from pomelolane.coordination.watch import StreamWatch
+    from pomelolane.coordination.stream_reporter import StreamReporter
     from pomelolane.endpoints import AnswerStream
     from pomelolane.forwarding.call import CallState
     from pomelolane.forwarding.stall import StallWatch
@@ -36,14 +36,14 @@
         self.is_paid = False
 
 
-def not_taken(state: CallState, watch: StreamWatch, detail: str) -> AgainSignal:
+def not_taken(state: CallState, watch: StreamReporter, detail: str) -> AgainSignal:
     """Judge a send that the endpoint has certainly not begun."""
     state.excluded += (state.endpoint_id,)
     watch.finish(refused=True, outcome=Outcome.NOT_RUN)
     return _failed(state, Reason.ENDPOINT_REFUSED, detail)
 
 
-def broken(state: CallState, watch: StreamWatch, detail: str) -> AgainSignal:
+def broken(state: CallState, watch: StreamReporter, detail: str) -> AgainSignal:
     """Judge a send that the endpoint may have begun."""
     state.excluded += (state.endpoint_id,)
     watch.finish(outcome=Outcome.FAILED)
@@ -52,7 +52,7 @@
 
 def cut_short(
     state: CallState,
-    watch: StreamWatch,
+    watch: StreamReporter,
     stream: AnswerStream,
     stall: StallWatch | None,
 ) -> AgainSignal:
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane import events
-from pomelolane.coordination.watch import StreamWatch
+from pomelolane.coordination.stream_reporter import StreamReporter
 from pomelolane.exceptions import (
     BadRequestError,
     EndpointBrokenError,
@@ -214,7 +214,7 @@
             if isinstance(grant, Refusal):
                 return truthful(state, grant)
             state.tries += 1
-            watch = StreamWatch(self._client, grant, self._clock)
+            watch = StreamReporter(self._client, grant, self._clock)
             try:
                 await self._attempt(state, relay, grant, watch)
             except AgainSignal as again:
@@ -237,7 +237,7 @@
         return grant
 
     async def _attempt(
-        self, state: CallState, relay: Relay, grant: Grant, watch: StreamWatch
+        self, state: CallState, relay: Relay, grant: Grant, watch: StreamReporter
     ) -> None:
         """Send to one endpoint and relay its answer.
 
@@ -259,7 +259,7 @@
         state.run = self._crashes.begin(call.fingerprint, endpoint)
         may_have_run, state.may_have_run = state.may_have_run, True
         state.sends += 1
-        watch.dispatched()
+        watch.note_dispatch()
         journal.sent(
             state, grant, left_ms, self._clock.now_ms(), self._directory.age_ms
         )
@@ -303,7 +303,7 @@
         state: CallState,
         relay: Relay,
         sent: Sent,
-        watch: StreamWatch,
+        watch: StreamReporter,
         endpoint: Endpoint,
     ) -> None:
         stream = sent.stream
@@ -313,16 +313,16 @@
             if failed and self._may_repeat(state):
                 # It has answered: its service fails, the endpoint is there.
                 state.run.settle()
-                watch.first()
+                watch.note_first_byte()
                 detail = f"the endpoint answered {stream.status}"
                 again = broken(state, watch, detail)
                 again.is_paid = True
                 raise again
             await stream.wait()
             if not stream.is_broken_unread:
-                watch.first()
+                watch.note_first_byte()
                 self._observe_first(state)
-            end = await relay.pass_on(stream, watch.progress, stall)
+            end = await relay.pass_on(stream, watch.note_tokens, stall)
         finally:
             if stall is not None:
                 stall.stop()
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -10,7 +10,7 @@
 from pomelolane import events
 from pomelolane.clock import WallClock
 from pomelolane.coordination import make_coordination
-from pomelolane.coordination.options import Timings
+from pomelolane.coordination.timings import Timings
 from pomelolane.endpoints import ConnectionPool
 from pomelolane.forwarding.app import CallerApp, ProbeApp
 from pomelolane.forwarding.budget import RetryAllowance, SharedRetryBudget
--- a/src/pomelolane/forwarding/notices.py
+++ b/src/pomelolane/forwarding/notices.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from pomelolane.coordination.client import GatewayClient
-    from pomelolane.coordination.watch import StreamWatch
+    from pomelolane.coordination.stream_reporter import StreamReporter
     from pomelolane.forwarding.departures import SaidDepartures
     from pomelolane.forwarding.endpoints import EndpointDirectory
     from pomelolane.model import Endpoint
@@ -40,7 +40,7 @@
         directory.on_change(self._forget_gone)
 
     def take(
-        self, endpoint: Endpoint, notice: EndpointNotice, watch: StreamWatch
+        self, endpoint: Endpoint, notice: EndpointNotice, watch: StreamReporter
     ) -> None:
         """Take the notice of one answer.
 
@@ -49,9 +49,11 @@
             notice: What it says.
             watch: Reports on the request to its scheduler.
         """
-        watch.noticed(notice.limit_per_s)
+        watch.note_limit(notice.limit_per_s)
         if notice.rest_ms > 0:
-            self._client.rest(endpoint.service, endpoint.endpoint_id, notice.rest_ms)
+            self._client.back_off(
+                endpoint.service, endpoint.endpoint_id, notice.rest_ms
+            )
         if notice.is_leaving:
             self._departures.hear(endpoint)
         self._log_rejected(endpoint.endpoint_id, notice)
--- a/src/pomelolane/forwarding/usenews.py
+++ b/src/pomelolane/forwarding/usenews.py
@@ -92,7 +92,7 @@
 
     def _tell_private(self, *, whole: bool) -> None:
         """Tell the schedulers what the gateway let pass while it heard none."""
-        accounts = self._coordination.private_accounts()
+        accounts = self._coordination.local_accounts()
         if not accounts:
             return
         listeners = frozenset(self._coordination.schedulers().values())
@@ -115,7 +115,7 @@
         # Whoever takes one role of this VM has to know what passed for its others, too.
         for name, vm in schedulers.items():
             if vm == self._vm_id:
-                listeners |= self._coordination.heirs(name) - {self._vm_id}
+                listeners |= self._coordination.standbys(name) - {self._vm_id}
         return frozenset(listeners - {""})
 
     def _tell(
--- a/src/pomelolane/gateway/dispatch.py
+++ b/src/pomelolane/gateway/dispatch.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane import events
-from pomelolane.coordination.watch import StreamWatch
+from pomelolane.coordination.stream_reporter import StreamReporter
 from pomelolane.exceptions import EndpointBrokenError, EndpointRefusedError
 from pomelolane.gateway.ending import Delivered
 from pomelolane.gateway.state import RequestState
@@ -155,7 +155,7 @@
         if isinstance(grant, Refusal):
             return self._after_dispatch(state, grant)
         endpoint = self._tree.value.endpoints.get(grant.endpoint_id)
-        watch = StreamWatch(self._client, grant, self._clock)
+        watch = StreamReporter(self._client, grant, self._clock)
         if endpoint is None:
             watch.finish(refused=True, outcome=Outcome.NOT_RUN)
             return Refusal(Outcome.NOT_RUN, Reason.ENDPOINT_REFUSED)
@@ -172,7 +172,7 @@
         sink: Sink,
         on_placed: OnPlaced | None,
         endpoint: Endpoint,
-        watch: StreamWatch,
+        watch: StreamReporter,
         queued_ms: float,
     ) -> Delivered | Refusal:
         state.endpoint_id = endpoint.endpoint_id
@@ -186,7 +186,7 @@
         run = state.run = self._crashes.begin(state.fingerprint, endpoint)
         dispatched_before = state.dispatched
         state.dispatched = True
-        watch.dispatched()
+        watch.note_dispatch()
         self._log_dispatch(state, watch.grant, queued_ms)
         adapter = self._adapters[state.call.service.kind.value]
         try:
@@ -227,7 +227,7 @@
         state: RequestState,
         sink: Sink,
         stream: object,
-        watch: StreamWatch,
+        watch: StreamReporter,
     ) -> SinkResult:
         if stream.header(_STATE_HEADER) == _LEAVING:
             self._on_leaving(state.endpoint_id)
@@ -236,9 +236,9 @@
 
         def on_first(*, begun: bool = True) -> None:
             state.begun = begun
-            watch.first()
+            watch.note_first_byte()
 
-        result = await sink.take(stream, on_first, watch.progress)
+        result = await sink.take(stream, on_first, watch.note_tokens)
         state.begun = result.begun
         return result
 
@@ -246,7 +246,7 @@
         self,
         state: RequestState,
         status: int,
-        watch: StreamWatch,
+        watch: StreamReporter,
         result: SinkResult,
     ) -> Delivered:
         total_ms = self._clock.now_ms() - state.accepted_ms
@@ -262,7 +262,11 @@
         return Delivered(status, state.endpoint_id, watch.ttft_ms, result.chunks)
 
     def _refused(
-        self, state: RequestState, endpoint: Endpoint, watch: StreamWatch, detail: str
+        self,
+        state: RequestState,
+        endpoint: Endpoint,
+        watch: StreamReporter,
+        detail: str,
     ) -> Refusal:
         """Judge an attempt that the endpoint has not taken."""
         state.excluded += (endpoint.endpoint_id,)
@@ -273,7 +277,11 @@
         return self._after_dispatch(state, refusal)
 
     def _broken(
-        self, state: RequestState, endpoint: Endpoint, watch: StreamWatch, detail: str
+        self,
+        state: RequestState,
+        endpoint: Endpoint,
+        watch: StreamReporter,
+        detail: str,
     ) -> Refusal:
         outcome = Outcome.CUT_SHORT if state.begun else Outcome.UNKNOWN
         if state.call.idempotent and not state.begun:
--- a/src/pomelolane/quarantine/gate.py
+++ b/src/pomelolane/quarantine/gate.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pomelolane.coordination.watch import StreamWatch
+from pomelolane.coordination.stream_reporter import StreamReporter
 from pomelolane.outcomes import Outcome, Reason, Refusal
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
         if isinstance(grant, Refusal) or not self._quarantine.holds(fingerprint):
             return grant
         # It was granted while the judgement was made: the slot is another one's.
-        watch = StreamWatch(self._client, grant, self._clock)
+        watch = StreamReporter(self._client, grant, self._clock)
         watch.finish(refused=True, outcome=Outcome.NOT_RUN)
         return KEPT_OUT
 
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -216,9 +216,9 @@
 
     def check_nothing_is_left(self):
         for service_queue in self.service_queues():
-            assert not service_queue.book.entries, (
+            assert not service_queue.request_table.entries, (
                 service_queue.service,
-                service_queue.book.entries,
+                service_queue.request_table.entries,
             )
             assert not service_queue.core.granted, service_queue.core.granted
             assert not service_queue.core.queue, service_queue.core.queue
--- a/tests/steps/coordination_rest_steps.py
+++ b/tests/steps/coordination_backoff_steps.py
@@ -25,7 +25,7 @@
 @when('"{vm}" is asked for {rest_ms:d} ms of rest')
 def step_rest(context, vm, rest_ms):
     client = context.world.vms[vm].coordination.client
-    client.rest("pool", ENDPOINT, rest_ms)
+    client.back_off("pool", ENDPOINT, rest_ms)
 
 
 @when('"{vm}" takes all slots for {for_ms:d} ms')
--- a/tests/steps/coordination_chooser_steps.py
+++ b/tests/steps/coordination_chooser_steps.py
@@ -34,4 +34,4 @@
 
 @then("its part of the VMs is {part:f}")
 def step_part(context, part):
-    assert abs(context.chooser.seen_share() - part) < 0.001
+    assert abs(context.chooser.visible_share() - part) < 0.001
--- a/tests/steps/coordination_fault_steps.py
+++ b/tests/steps/coordination_fault_steps.py
@@ -199,7 +199,7 @@
     world = context.world
     client = world.vms[name].coordination.client
     link = client.links()["pool"]
-    context.run(world.run_until(lambda: link.is_alone))
+    context.run(world.run_until(lambda: link.is_local))
 
 
 @when("the cut is healed")
--- a/tests/steps/coordination_overload_steps.py
+++ b/tests/steps/coordination_overload_steps.py
@@ -116,12 +116,12 @@
         peer = world.peers["b-1"]
         world.peers["b-1"] = replace(peer, incarnation=peer.incarnation + 1)
         world.share_view()
-    context.chooser.heard("b-1")
+    context.chooser.note_alive("b-1")
 
 
 @then("it is suspected next time after {times:d} times the silence")
 def step_patience(context, times):
-    assert context.chooser.patience("b-1") == times
+    assert context.chooser.silence_factor("b-1") == times
 
 
 @when("all coordinated VMs have suspected the scheduler {times:d} times in vain")
@@ -131,7 +131,7 @@
     choosers = [vm.coordination._chooser for vm in world.vms.values()]
     for chooser in choosers * times:
         chooser.suspect(holder, 5_000)
-        chooser.heard(holder)
+        chooser.note_alive(holder)
     context.run(world.run(500))
     assert world.scheduler() == holder
 
--- a/tests/steps/coordination_service_queue_steps.py
+++ b/tests/steps/coordination_service_queue_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from pomelolane.clock import ManualClock
-from pomelolane.coordination.options import Timings
 from pomelolane.coordination.service_queue import ServiceQueue
+from pomelolane.coordination.timings import Timings
 from pomelolane.messages import (
     Granted,
     Handle,
@@ -92,7 +92,7 @@
 @when("the desk's VM was paused for {ms:d} ms")
 def step_paused(context, ms):
     context.service_queue.settle(("a", "b"))
-    context.service_queue.note_pause(ms)
+    context.service_queue.account_for_pause(ms)
 
 
 @when("the desk sees its first request end")
--- a/tests/steps/coordination_steps.py
+++ b/tests/steps/coordination_steps.py
@@ -261,7 +261,9 @@
 def step_no_waiting(context):
     context.run(context.world.settle())
     service_queue = scheduler_queue(context.world)
-    assert not service_queue.book.waiting(), service_queue.book.waiting()
+    assert not service_queue.request_table.waiting(), (
+        service_queue.request_table.waiting()
+    )
     assert not service_queue.core.queue
 
 
@@ -319,7 +321,7 @@
 
 @then("the scheduler still holds the slot of its request")
 def step_still_held(context):
-    entry = scheduler_queue(context.world).book.entries
+    entry = scheduler_queue(context.world).request_table.entries
     assert context.request.handle.request_id in entry
     assert (
         context.request.handle.request_id in scheduler_queue(context.world).core.granted
@@ -367,7 +369,7 @@
 @then('the scheduler knows all requests of "{name}"')
 def step_known(context, name):
     world = context.world
-    known = scheduler_queue(world).book.entries
+    known = scheduler_queue(world).request_table.entries
     open_ids = [r.handle.request_id for r in in_flight(world)]
     assert len(open_ids) == 8
     assert set(open_ids) <= set(known), known
--- a/tests/steps/scheduler_rate_steps.py
+++ b/tests/steps/scheduler_rate_steps.py
@@ -148,7 +148,7 @@
     holder = context.world.vms[context.world.scheduler()]
     context.successor = holder.coordination.successor("pool")
     client = context.world.vms[context.successor].coordination.client
-    client.links()["pool"].limits.forget(["a/1"])
+    client.links()["pool"].limits.remove(["a/1"])
 
 
 @when("the scheduler dies, and its successor is the last to see that")
