--- a/src/pomelolane/coordination/chooser.py
+++ b/src/pomelolane/coordination/chooser.py
@@ -1,7 +1,7 @@
-"""Which VM schedules a service, as far as this VM can tell.
+"""Chooses the VM that schedules each service.
 
-Rendezvous hashing over the view makes all VMs with equal views agree without
-a message; VMs that are silent or stopping are passed over.
+Rendezvous hashing over the membership view lets VMs with equal views agree without
+exchanging messages. Silent and stopping VMs are skipped.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 
 
 class Chooser:
-    """Chooses schedulers for one VM, for its gateway and its role alike.
+    """Chooses schedulers for one VM; its gateway and scheduler role share it.
 
     Args:
         vm_id: This VM.
         membership: Source of the view.
-        clock: Time.
+        clock: Source of the current time.
     """
 
     def __init__(self, vm_id: str, membership: Membership, clock: Clock) -> None:
@@ -69,11 +69,11 @@
         membership.on_change(self._view_changed)
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back whenever a choice may have changed."""
+        """Register a callback that runs whenever a choice may have changed."""
         self._callbacks.append(callback)
 
     def view(self) -> View:
-        """Return the view that the choices are made from."""
+        """Return the membership view that choices are based on."""
         return self._membership.view()
 
     def scheduler(self, service: str) -> str:
@@ -85,7 +85,7 @@
         return chosen
 
     def successor(self, service: str) -> str:
-        """Return the VM to follow once the present scheduler is gone, '' for none."""
+        """Return the VM to follow if the current scheduler fails, '' for none."""
         gone = self.scheduler(service)
         peers = self.view().peers
         live = [vm for vm in peers if vm != gone and not self.is_suspected(vm)]
@@ -93,10 +93,10 @@
         return choose(service, self._strongest(able)) if able else ""
 
     def standbys(self, service: str) -> frozenset[str]:
-        """Return the VMs that take the role if the scheduler or a data centre is lost.
+        """Return the VMs that take over if the scheduler or a data centre is lost.
 
-        These are its successor, and of each data centre the VM that its gateways follow
-        where they see no other one.
+        These are its successor and, for each data centre, the VM that gateways there
+        choose when they can see no other data centre.
         """
         by_data_centre: dict[str, list[str]] = {}
         for vm_id, peer in self.view().peers.items():
@@ -108,7 +108,7 @@
         return frozenset(standbys | {self.successor(service)}) - {""}
 
     def incarnation_of(self, vm_id: str) -> int:
-        """Return the number of a VM's start, 0 while it is not in the view."""
+        """Return a VM's incarnation number, 0 while it is not in the view."""
         peer = self.view().peers.get(vm_id)
         return peer.incarnation if peer is not None else 0
 
@@ -118,18 +118,18 @@
         return frozenset(p.vm_id for p in peers if p.ready) | {self._vm_id}
 
     def gateways_own_first(self) -> tuple[str, ...]:
-        """Return the same, this VM first and the others by name."""
+        """Return the gateways as a tuple: this VM first, the others sorted by id."""
         return (self._vm_id, *sorted(self.gateways() - {self._vm_id}))
 
     def visible_share(self) -> float:
-        """Return the part of the lately seen VMs that are in the view now.
+        """Return the share of recently visible VMs that the view holds now.
 
-        Those that are missing may be cut off, with a scheduler of their own.
+        Missing VMs may be cut off and have a scheduler of their own.
         """
         return len(self.gateways()) / self.max_visible()
 
     def max_visible(self) -> int:
-        """Return how many VMs were in the view at most, lately."""
+        """Return the highest number of gateways that the view held recently."""
         self._record_visible()
         return max(count for _, count in self._visible_counts)
 
@@ -146,15 +146,15 @@
             self._visible_counts[-1] = newest
 
     def is_suspected(self, vm_id: str) -> bool:
-        """Tell whether a VM is passed over because of its silence."""
+        """Return whether a VM is skipped because it is silent."""
         return vm_id in self._suspected_until
 
     def suspects(self) -> tuple[str, ...]:
-        """Return the VMs that are passed over because of their silence."""
+        """Return the VMs that are skipped because they are silent."""
         return tuple(self._suspected_until)
 
     def suspect(self, vm_id: str, for_ms: float) -> None:
-        """Pass over a silent VM for a while; never this VM itself."""
+        """Skip a silent VM for a time in ms; this VM itself is never skipped."""
         if vm_id == self._vm_id:
             return
         now_ms = self._clock.now_ms()
@@ -163,13 +163,16 @@
         self._changed()
 
     def note_alive(self, vm_id: str) -> None:
-        """Take a VM back that has answered after all."""
+        """Stop skipping a suspected VM from which a message has arrived."""
         if self._suspected_until.pop(vm_id, None) is not None:
             self._record_recovery(vm_id)
             self._changed()
 
     def silence_factor(self, vm_id: str) -> int:
-        """Return by how much the silence is longer after which a VM is suspected."""
+        """Return the factor by which a VM may be silent longer before it is suspected.
+
+        It grows with each recent false alarm.
+        """
         factor, at_ms = self._false_alarms.get(vm_id, (1, 0.0))
         is_old = self._clock.now_ms() - at_ms > _FALSE_ALARM_KEPT_MS
         return 1 if is_old else factor
@@ -177,18 +180,18 @@
     def _record_recovery(self, vm_id: str) -> None:
         now_ms = self._clock.now_ms()
         suspected_ms, incarnation = self._suspected_at.pop(vm_id, (now_ms, 0))
-        # One that was started again meanwhile had died: that was no false alarm.
+        # A new incarnation means that the VM had died: no false alarm.
         was_alive = incarnation == self.incarnation_of(vm_id)
         if was_alive and now_ms - suspected_ms <= _FALSE_ALARM_MS:
             factor = min(_MAX_SILENCE_FACTOR, 2 * self.silence_factor(vm_id))
             self._false_alarms[vm_id] = (factor, now_ms)
 
     def take_hint(self, service: str, vm_id: str) -> None:
-        """Follow another VM's word on who schedules a service, once.
+        """Follow the scheduler that another VM has named for a service, once.
 
-        Where the word leads to a second rejection, this VM goes back to its
-        own choice and takes no other word for a while, so that two VMs with
-        unlike views cannot send it to and fro.
+        If that VM rejects the gateway too, this VM returns to its own choice and
+        ignores hints for a while. Otherwise two VMs with different views could
+        redirect it back and forth.
         """
         if self._hints.pop(service, None) is not None:
             self._hints_ignored_until[service] = self._clock.now_ms() + _HINT_VALID_MS
@@ -202,19 +205,19 @@
             self._changed()
 
     def exclude(self, service: str, vm_id: str, for_ms: float) -> None:
-        """Choose others for a service that a VM does not know."""
+        """Skip a VM that does not know a service, for that service and time in ms."""
         self._excluded_until[service, vm_id] = self._clock.now_ms() + for_ms
         if self._hints.get(service, ("",))[0] == vm_id:
             del self._hints[service]
         self._changed()
 
     def stop(self) -> None:
-        """Leave this VM out from now on, as long as there is another."""
+        """Stop choosing this VM unless it is the only one left."""
         self.is_stopping = True
         self._changed()
 
     def tick(self) -> None:
-        """Forget suspicions and hints that have grown old."""
+        """Drop expired suspicions, hints and exclusions."""
         now_ms = self._clock.now_ms()
         ended = [
             _drop_expired(self._suspected_until, now_ms),
@@ -236,7 +239,7 @@
         return choose(service, self._strongest(able) or live or [self._vm_id])
 
     def _strongest(self, vm_ids: list[str]) -> list[str]:
-        """Return the VMs that carry about as much as the strongest of them."""
+        """Return the VMs whose capacity is close to that of the strongest."""
         peers = self.view().peers
         most = max((peers[vm].carries_per_s for vm in vm_ids), default=0)
         least = _MIN_CAPACITY_SHARE * most
@@ -254,7 +257,7 @@
 
     def _view_changed(self, view: View) -> None:
         if self._visible_counts:
-            # So many were there until now, whether anybody asked meanwhile or not.
+            # The previous count held until now, even if nobody queried it meanwhile.
             self._visible_counts.append(
                 (self._clock.now_ms(), self._visible_counts[-1][1])
             )
--- a/src/pomelolane/coordination/client.py
+++ b/src/pomelolane/coordination/client.py
@@ -1,7 +1,7 @@
-"""How a gateway gets slots: the scheduler client.
+"""The scheduler client, through which a gateway acquires slots.
 
-A grant is used at most once whatever schedulers say, because only the ticket
-of a waiting ``acquire`` can take it; all other grants are given back.
+A grant is used at most once, whatever schedulers send: only the ticket of a pending
+``acquire`` call accepts it, and all other grants are returned.
 """
 
 from __future__ import annotations
@@ -35,17 +35,17 @@
 
 _PAUSE_MS = 1000.0
 _GRANT_DISTRUST_MS = 1000.0
-"""Longer than two heartbeats take to bring the marks that were missed."""
+"""Longer than two heartbeats take to deliver leaving marks missed in a pause."""
 
 CLIENT_MESSAGES = (SubmitAck, SyncAck, NotScheduler, Granted, Refused)
-"""Kinds of messages that a gateway takes from schedulers."""
+"""Kinds of messages that a gateway handles from schedulers."""
 
 
 class GatewayClient:
-    """Gets slots from whichever VM schedules a service.
+    """Acquires slots from whichever VM schedules a service.
 
     Args:
-        context: What its links share.
+        context: Dependencies that all links of the gateway share.
     """
 
     def __init__(self, context: LinkContext) -> None:
@@ -62,12 +62,12 @@
         self._distrusted_requests: set[str] = set()
         context.chooser.on_change(self._rechoose)
 
-    # --- the port ---------------------------------------------------------
+    # --- scheduler client port --------------------------------------------
 
     async def acquire(self, handle: Handle) -> Grant | Refusal:
         """Wait for a grant or a final refusal.
 
-        Cancelling the call withdraws the handle.
+        Cancelling the call withdraws the request.
         """
         link = self._links.get(handle.service)
         if link is None:
@@ -83,7 +83,7 @@
             raise
 
     def observe(self, event: StreamEvent) -> None:
-        """Report on a dispatched request; the last event frees its slot."""
+        """Report progress of a dispatched request; a final event frees its slot."""
         ticket = self._tickets.get(event.request_id)
         if ticket is None or not ticket.endpoint_id:
             return
@@ -92,10 +92,10 @@
         self._links[ticket.handle.service].observe(ticket, event)
 
     def back_off(self, service: str, endpoint_id: str, rest_ms: float) -> None:
-        """Use no grant for an endpoint for a time: it has asked this VM for rest."""
+        """Use no grant for an endpoint for a time, as it asked this VM to wait."""
         self._backoffs.start(service, endpoint_id, rest_ms)
 
-    # --- the facade -------------------------------------------------------
+    # --- called by Coordination -------------------------------------------
 
     def configure(self, tree: Tree) -> None:
         """Follow a scheduler for each service of the tree."""
@@ -109,7 +109,7 @@
         self._clear_restarted_endpoints(tree)
 
     def _clear_restarted_endpoints(self, tree: Tree) -> None:
-        """Drop what endpoints said that have begun anew."""
+        """Drop limits and back-offs of endpoints that have restarted."""
         starts = {name: one.born_ms for name, one in tree.endpoints.items()}
         restarted = [
             name
@@ -130,7 +130,7 @@
         self._leaving.discard(endpoint_id)
 
     def tick(self) -> None:
-        """Check deadlines, and schedulers that are silent."""
+        """Refuse requests past their deadline and check for silent schedulers."""
         now_ms = self._context.clock.now_ms()
         self._detect_pause(now_ms)
         if now_ms >= self._distrust_until_ms:
@@ -143,14 +143,14 @@
             link.tick()
 
     def probe(self, service: str) -> None:
-        """Find out at once whether the scheduler of a service is there."""
+        """Sync at once with the scheduler of a service to see if it is reachable."""
         link = self._links.get(service)
         if link is not None and not link.is_local:
             link.sync()
 
     @property
     def is_waiting(self) -> bool:
-        """Whether anything here waits for a scheduler's word."""
+        """Whether any request waits for a slot or any link uses its local queue."""
         return any(link.waiting or link.is_local for link in self._links.values())
 
     def links(self) -> dict[str, Link]:
@@ -160,7 +160,7 @@
     # --- messages ---------------------------------------------------------
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a message of a scheduler."""
+        """Handle a message from a scheduler."""
         self._detect_pause(self._context.clock.now_ms())
         self._context.chooser.note_alive(sender)
         match message:
@@ -226,23 +226,23 @@
     def _handle_repeated_grant(
         self, link: Link, ticket: Ticket, message: Granted
     ) -> None:
-        # The same grant twice is harmless; another one means that the
-        # scheduler has to learn where the request runs.
+        # A duplicate of the grant is harmless. If it names another endpoint, the
+        # scheduler has to be told where the request runs.
         if message.endpoint_id != ticket.endpoint_id:
             link.note_sync_reply((ticket.request_id,), held=1)
 
     def _detect_pause(self, now_ms: float) -> None:
-        """Doubt all grants for a while after this process has not run.
+        """Distrust all grants for a while after a pause of this process.
 
-        They may be older than a word on a leaving endpoint that waits in the
-        same sockets, or come from a scheduler here that has not heard it yet.
+        They may predate a leaving mark that still waits in a socket, or come from the
+        scheduler on this VM, which has not received the mark yet.
         """
         if now_ms - self._ran_ms > _PAUSE_MS:
             self._distrust_until_ms = now_ms + _GRANT_DISTRUST_MS
         self._ran_ms = now_ms
 
     def _resubmit_distrusted(self) -> None:
-        """Ask anew for what was granted in doubt."""
+        """Submit again the requests whose grants were returned after a pause."""
         for request_id in self._distrusted_requests:
             ticket = self._tickets.get(request_id)
             link = self._links.get(ticket.handle.service) if ticket else None
@@ -263,7 +263,7 @@
         link.submit_again(ticket)
 
     def _give_back(self, sender: str, message: Granted) -> None:
-        """Free the slot of a grant that is not used."""
+        """Return an unused grant so that the scheduler frees its slot."""
         withdraw = Withdraw(message.epoch, (message.request_id,))
         service = ""
         ticket = self._tickets.get(message.request_id)
@@ -294,7 +294,7 @@
         return ticket
 
     def _abandon(self, ticket: Ticket) -> None:
-        """Withdraw a request whose caller has gone, granted or not."""
+        """Withdraw a request whose caller is gone, whether granted or not."""
         if self._tickets.get(ticket.request_id) is not ticket:
             return
         del self._tickets[ticket.request_id]
--- a/src/pomelolane/coordination/link.py
+++ b/src/pomelolane/coordination/link.py
@@ -1,7 +1,7 @@
-"""A gateway's side of one service: whom it follows and what it holds.
+"""A gateway's connection to the scheduler of one service.
 
-The link registers everything it holds with each new scheduler, so that no
-scheduler's death loses a request, and it alone decides whether a grant counts.
+The link registers all waiting and running requests with each new scheduler, so a
+scheduler failure loses none. Only the gateway decides whether a grant is used.
 """
 
 from __future__ import annotations
@@ -35,11 +35,18 @@
 
 
 class Link:
-    """Follows the scheduler of one service.
+    """Follows the scheduler of one service and reports the gateway's requests to it.
 
     Args:
         service: Name of the service.
-        context: What the gateway's links share.
+        context: Dependencies that all links of the gateway share.
+
+    Attributes:
+        waiting: Requests without a slot, by id.
+        running: Requests with a slot, by id.
+        limits: Rate limits that the service's endpoints have announced.
+        scheduler: VM that is followed, ``LOCAL`` for this VM's own queue.
+        epoch: Number of the current choice of scheduler.
     """
 
     def __init__(self, service: str, context: LinkContext) -> None:
@@ -68,7 +75,7 @@
         self._is_started = False
         self._incarnation = 0
 
-    # --- what the gateway holds -------------------------------------------
+    # --- requests ---------------------------------------------------------
 
     def add(self, ticket: Ticket) -> None:
         """Register a new request with the scheduler."""
@@ -76,31 +83,31 @@
         self.submit_again(ticket)
 
     def submit_again(self, ticket: Ticket) -> None:
-        """Send a request's handle in this turn of the loop."""
+        """Submit a request in the current iteration of the event loop."""
         self._unsent[ticket.request_id] = ticket
         self._defer_flush()
 
     def grant(self, ticket: Ticket, endpoint_id: str) -> None:
-        """Count a request as running at an endpoint."""
+        """Move a request from waiting to running at an endpoint."""
         del self.waiting[ticket.request_id]
         self._unsent.pop(ticket.request_id, None)
         ticket.endpoint_id = endpoint_id
         self.running[ticket.request_id] = ticket
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Drop a request and free its place or slot at the scheduler."""
+        """Remove a request and free its queue place or slot at the scheduler."""
         self.drop(ticket)
         self.send(Withdraw(self.epoch, (ticket.request_id,)))
 
     def drop(self, ticket: Ticket) -> None:
-        """Drop a request that the scheduler has given up already."""
+        """Remove a request that the scheduler has removed already."""
         self.waiting.pop(ticket.request_id, None)
         self.running.pop(ticket.request_id, None)
         self._unsent.pop(ticket.request_id, None)
         self._confirmed_empty = False
 
     def observe(self, ticket: Ticket, event: StreamEvent) -> None:
-        """Pass on progress; what frees a slot goes at once."""
+        """Queue a progress event; events that free a slot are sent at once."""
         ticket.update_progress(event)
         if event.limit_per_s is not None:
             now_ms = self._context.clock.now_ms()
@@ -109,17 +116,20 @@
         if event.finished:
             self.drop(ticket)
         if event.finished or event.ttft_ms >= 0:
-            # A prompt that is read makes room for the next one, like a free slot.
+            # A finished prefill makes room for the next prompt, like a free slot.
             self._defer_flush()
 
     # --- sending ----------------------------------------------------------
 
     def send(self, message: Message) -> bool:
-        """Send a message to the scheduler that is followed."""
+        """Send a message to the current scheduler; return whether it was sent."""
         return bool(self._context.send(self.scheduler, self.service, message))
 
     def flush(self) -> None:
-        """Send what has gathered: freed slots first, then new requests."""
+        """Send pending progress, then pending requests.
+
+        Progress goes first because it frees slots.
+        """
         self._flush_deferred = False
         self._flush_progress()
         tickets = [t for t in self._unsent.values() if not t.endpoint_id]
@@ -143,7 +153,7 @@
 
     def _submit(self, waiting: Sequence[Ticket], running: Sequence[Ticket]) -> None:
         now_ms = self._context.clock.now_ms()
-        # Running ones first: a scheduler must know them before it grants.
+        # Running requests first: a scheduler must count them before it grants.
         for start in range(0, len(running), _HANDLES_PER_SUBMIT):
             chunk = running[start : start + _HANDLES_PER_SUBMIT]
             registered = tuple(ticket.running_at(now_ms) for ticket in chunk)
@@ -154,11 +164,15 @@
             self._send_question(Submit(self.epoch, handles))
 
     def sync(self) -> None:
-        """Tell the scheduler what is held, and see whether it is there."""
+        """Send the ids of the held requests; the reply lists those the scheduler lacks.
+
+        Short lists are always sent in full, long ones only in every
+        ``Timings.full_sync_every``-th sync.
+        """
         is_short = len(self.waiting) + len(self.running) <= _MAX_SHORT_LIST
         is_whole = is_short or self._sync_count % self._timings.full_sync_every == 0
         if self._sync_count == 0:
-            # A scheduler that was asked before it took the role has heard nothing.
+            # A VM that was asked before it took the role has ignored the limits.
             self._send_limits()
         waiting = tuple(self.waiting) if is_whole else ()
         running = tuple(self.running) if is_whole else ()
@@ -175,14 +189,14 @@
         self._unanswered += 1
         self.send(message)
 
-    # --- whom it follows --------------------------------------------------
+    # --- choice of scheduler ----------------------------------------------
 
     def is_current(self, sender: str, epoch: int) -> bool:
-        """Tell whether a message answers the present choice."""
+        """Return whether a message comes from the current scheduler and epoch."""
         return sender == self.scheduler and epoch == self.epoch
 
     def note_reply(self) -> None:
-        """Note that the scheduler has answered."""
+        """Record that the scheduler has replied, and reset the silence timers."""
         self._reset_reply_timer()
         self._silent_since_ms = None
         self._unanswered = 0
@@ -193,14 +207,19 @@
         self._retry_at_ms = None
 
     def note_admitted(self, request_ids: Sequence[str]) -> None:
-        """Note requests that a scheduler has counted against limits."""
+        """Mark requests that a scheduler has counted against limits."""
         for request_id in request_ids:
             ticket = self.waiting.get(request_id)
             if ticket is not None:
                 ticket.admitted = True
 
     def note_sync_reply(self, missing: Sequence[str], held: int) -> None:
-        """Register again what the scheduler does not know."""
+        """Submit again the requests that the scheduler does not know.
+
+        Args:
+            missing: Ids from the sync that the scheduler lacks.
+            held: Number of this gateway's requests that the scheduler holds.
+        """
         waiting = [self.waiting[name] for name in missing if name in self.waiting]
         running = [self.running[name] for name in missing if name in self.running]
         if waiting or running:
@@ -210,18 +229,18 @@
             self._confirmed_empty = True
 
     def note_not_scheduler(self) -> None:
-        """Ask again shortly: the VM does not see itself as the scheduler."""
+        """Schedule a retry: the VM replied that it is not the scheduler."""
         self._sync_count = 0
         self._reset_reply_timer()
         self._retry_at_ms = self._context.clock.now_ms() + self._timings.retry_ms
 
     @property
     def is_local(self) -> bool:
-        """Whether the gateway grants from its own share of slots."""
+        """Whether the gateway uses its own queue and share of slots."""
         return self.scheduler == LOCAL
 
     def rechoose(self) -> None:
-        """Follow the scheduler that the chooser names now."""
+        """Follow the scheduler that the chooser returns now."""
         if self._context.always_local:
             return
         chosen = self._context.chooser.scheduler(self.service)
@@ -241,14 +260,18 @@
             self._is_started = True
 
     def accept_probe_reply(self, sender: str, epoch: int) -> bool:
-        """Go back to a scheduler that has answered while alone."""
+        """Follow a scheduler that has answered a probe sent during local fallback.
+
+        Returns:
+            Whether the reply answered the current probe.
+        """
         if not self.is_local or (sender, epoch) != self._probe_target:
             return False
         self._follow(sender, epoch)
         return True
 
     def unfollow(self) -> None:
-        """Tell the scheduler that this gateway follows it no more."""
+        """Tell the scheduler that this gateway no longer follows it."""
         self.send(Unfollow(self.epoch, self.service))
 
     def _follow(self, scheduler: str, epoch: int) -> None:
@@ -287,7 +310,7 @@
         self._probe(self._context.chooser.scheduler(self.service))
 
     def _probe(self, chosen: str) -> None:
-        """Ask, with nothing registered, whether a scheduler is there."""
+        """Send an empty sync to find out whether a scheduler is reachable."""
         if self._probe_target[0] != chosen:
             self._probe_target = (chosen, self._context.epochs.next())
         self._last_probe_ms = self._context.clock.now_ms()
@@ -297,7 +320,7 @@
     # --- time -------------------------------------------------------------
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Send due progress, syncs and probes, and check for a silent scheduler."""
         now_ms = self._context.clock.now_ms()
         if now_ms - self._last_progress_ms >= self._timings.progress_ms:
             self._flush_progress()
@@ -324,7 +347,7 @@
         since_ms = self._silent_since_ms
         if since_ms is None or not self.waiting:
             return False
-        # A VM that was paused must not mistake its own pause for silence.
+        # After a pause of this VM the elapsed time says nothing about the scheduler.
         if self._unanswered < _MIN_UNANSWERED_BEFORE_FALLBACK:
             return False
         return now_ms - since_ms >= self._tolerated_silence_ms(
@@ -332,7 +355,7 @@
         )
 
     def _tolerated_silence_ms(self, silence_ms: float) -> float:
-        """Return a silence, longer where the scheduler was suspected in vain."""
+        """Return a silence in ms, extended if the scheduler caused false alarms."""
         factor = self._context.chooser.silence_factor(self.scheduler)
         most_ms = max(silence_ms, self._timings.max_silence_ms)
         return min(silence_ms * factor, most_ms)
--- a/src/pomelolane/coordination/service_queue.py
+++ b/src/pomelolane/coordination/service_queue.py
@@ -1,7 +1,7 @@
-"""A scheduler's place for one service: its book, its core, its messages.
+"""The scheduler's queue of one service: request table, core and messages.
 
-The same desk serves all gateways when its VM holds the role, and just its own
-gateway where that one has to go alone.
+A queue serves all gateways if its VM holds the scheduler role. A gateway that hears
+no scheduler uses a local one of its own.
 """
 
 from __future__ import annotations
@@ -44,19 +44,24 @@
 
 
 class ServiceQueue:
-    """Schedules one service for the gateways that follow it.
+    """Schedules one service for the gateways that follow this VM.
 
     Args:
         service: Name of the service.
-        core: Decides; owned by the desk.
+        core: Scheduling core that decides; owned by the queue.
         send: Sends a message to a gateway.
-        clock: Time.
-        timings: Bounds.
+        clock: Source of the current time.
+        timings: Timeouts and periods.
         share_of: Returns the share of each endpoint's slots that may be
             granted to a set of followers.
-        rate_share: Returns the share of organisations' rates that may pass.
-        dealt_to: Returns the VMs among which each endpoint's slots are dealt, with
-            this one first, for a set of followers; one VM alone has all of them.
+        rate_share: Returns the share of organisations' rate limits that this queue
+            may use.
+        slot_owners_for: Returns the VMs that share each endpoint's slots for a set of
+            followers, this VM first. A single VM owns all slots.
+
+    Attributes:
+        account: Usage of organisations' limits counted by this queue.
+        request_table: All requests and following gateways.
     """
 
     def __init__(
@@ -91,10 +96,10 @@
         self._top_tier_only = False
         self._awaited_gateways: frozenset[str] = frozenset()
 
-    # --- what the role does with it ---------------------------------------
+    # --- called by the role -----------------------------------------------
 
     def configure(self, tree: Tree) -> None:
-        """Adopt a settings tree, already cut down to what may be granted."""
+        """Apply a settings tree, restricted already to what may be granted."""
         self._tree = tree
         self._slot_owners = self._slot_owners_for(self.followers())
         marked = self._with_leaving_marks(tree)
@@ -107,10 +112,10 @@
         self._update_share()
 
     def _with_leaving_marks(self, tree: Tree) -> Tree:
-        """Return the tree with the marked endpoints declared as leaving.
+        """Return the tree with the endpoints marked here set to leaving.
 
-        A core that is told of the marks only after the tree would open them for
-        a moment whenever their data centre comes back, and grant at once.
+        If the core got the marks only after the tree, it would grant these endpoints
+        in between whenever their data centre comes back.
         """
         endpoints = dict(tree.endpoints)
         for endpoint_id in self._leaving & endpoints.keys():
@@ -123,7 +128,7 @@
         self._mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
-        """Take back a mark; the tree's word stands."""
+        """Remove the leaving mark of an endpoint; the settings tree decides again."""
         self._leaving.discard(endpoint_id)
         now_ms = self._clock.now_ms()
         if self._tree is not None:
@@ -131,11 +136,11 @@
         self._apply_decisions(self.core.mark_returned(endpoint_id, now_ms))
 
     def settle(self, gateways: Iterable[str]) -> None:
-        """Hold all grants until these gateways have registered, or a while.
+        """Hold grants until these gateways have registered or a timeout passes.
 
-        The highest tier is held for a short while only, the others longer:
-        views differ for a second after a VM has died, and a gateway that still
-        follows the dead one may have higher tiers waiting.
+        The highest tier waits ``Timings.settle_ms`` at most, the others longer: views
+        differ for about a second after a VM has died, and a gateway that still follows
+        the dead VM may hold waiting requests of higher tiers.
         """
         self._awaited_gateways = frozenset(gateways)
         self._top_tier_only = False
@@ -144,16 +149,16 @@
             follower.registered = False
 
     def account_for_pause(self, paused_ms: float) -> None:
-        """Count a pause of this VM as time that the callers have waited.
+        """Move the deadlines of waiting requests forward by a pause of this VM.
 
-        The desk's clock stood still, so that their deadlines seem further away than
-        they are. The core is told anew of what waits, as of now.
+        The queue's clock stood still during the pause, so the deadlines seem further
+        away than they are. Waiting requests are submitted to the core again.
 
         Args:
             paused_ms: How long the VM did not run.
         """
         waiting = self.request_table.waiting()
-        # All leave the book first, so that no withdrawal grants another one.
+        # Remove all first, so that no withdrawal causes a grant for another one.
         for entry in waiting:
             self.request_table.remove(entry)
         now_ms = self._clock.now_ms()
@@ -172,7 +177,7 @@
         return self._settle_by_ms is not None
 
     def tick(self) -> None:
-        """Drive the core and forget gateways and slots that are overdue."""
+        """Run the core and drop silent gateways and expired orphaned requests."""
         now_ms = self._clock.now_ms()
         self._drop_silent(now_ms)
         self._update_share()
@@ -183,17 +188,17 @@
         self._apply_decisions(self.core.tick(now_ms))
 
     def drop_gateway(self, gateway: str) -> None:
-        """Forget a gateway; slots of its requests are held for a while."""
+        """Remove a gateway; slots of its running requests stay taken for a while."""
         follower = self.request_table.followers.pop(gateway, None)
         if follower is not None:
             self._abandon(follower)
 
     def followers(self) -> frozenset[str]:
-        """Return the gateways that follow this desk."""
+        """Return the gateways that follow this queue."""
         return frozenset(self.request_table.followers)
 
     def endpoints(self, kind: ServiceKind) -> list[Endpoint]:
-        """Return the endpoints that it may grant, if its service is of a kind."""
+        """Return the endpoints that may be granted, none if the kind differs."""
         tree = self._tree
         if tree is None or self.service not in tree.services:
             return []
@@ -203,19 +208,19 @@
         return [endpoint for endpoint in own if not endpoint.leaving]
 
     def close(self) -> None:
-        """Forget everything but what the core has learnt."""
+        """Drop all requests and followers; the core keeps its estimates."""
         self.request_table.followers.clear()
         self._remove_all(list(self.request_table.entries.values()))
         self._settle_by_ms = None
 
     def apply(self, decisions: Sequence[Decision]) -> None:
-        """Carry out decisions that a call on the core has returned."""
+        """Apply decisions that a call to the core has returned."""
         self._apply_decisions(decisions)
 
     # --- messages ---------------------------------------------------------
 
     def receive(self, gateway: str, message: Message) -> None:
-        """Take a message of a gateway; kinds for other parts are ignored."""
+        """Handle a message from a gateway; other kinds of messages are ignored."""
         match message:
             case Submit():
                 self._handle_submit(gateway, message)
@@ -237,7 +242,7 @@
             self._take_running(gateway, message.epoch, running)
         for handle in sorted(message.waiting, key=_urgency):
             self._take_waiting(gateway, message.epoch, handle)
-        # A grant or refusal sent meanwhile is acknowledgement enough.
+        # A grant or refusal that was sent already acknowledges the others.
         queued = [h.request_id for h in message.waiting if self._is_waiting(h)]
         queued += [running.handle.request_id for running in message.running]
         if queued:
@@ -313,7 +318,7 @@
         self._reassign_limited()
 
     def _reassign_limited(self) -> None:
-        """Deal the slots anew where other endpoints than before name a rate."""
+        """Assign slots again if the set of rate-limited endpoints has changed."""
         if (
             len(self._slot_owners) > 1
             and self._limited_endpoints() != self._limited_ids
@@ -328,10 +333,10 @@
         if follower is not None and message.epoch >= follower.epoch:
             self.drop_gateway(gateway)
 
-    # --- the book ---------------------------------------------------------
+    # --- request table ----------------------------------------------------
 
     def _follower(self, gateway: str, epoch: int) -> Follower | None:
-        """Return the sender's record, or None where its message is old."""
+        """Return the sender's record, or None if its message is outdated."""
         now_ms = self._clock.now_ms()
         follower = self.request_table.followers.get(gateway)
         if follower is not None and incarnation_part(epoch) > incarnation_part(
@@ -368,7 +373,7 @@
     def _take_running(self, gateway: str, epoch: int, running: RunningHandle) -> None:
         entry = self.request_table.get(running.handle.request_id)
         if entry is not None and entry.endpoint_id == running.endpoint_id:
-            # Its slot must not be free for a moment, or another would get it.
+            # Freeing the slot even for a moment would let another request take it.
             self.request_table.adopt(entry, gateway, epoch)
             return
         if entry is not None:
@@ -403,7 +408,7 @@
             self._apply_decisions(self.core.withdraw(entry.request_id, now_ms))
 
     def _abandon(self, follower: Follower) -> None:
-        """Drop what waits; hold the slots that an engine may still use."""
+        """Drop waiting requests; keep slots taken that an engine may still use."""
         entries = list(follower.entries.values())
         for entry in entries:
             if entry.endpoint_id:
@@ -411,7 +416,7 @@
         self._remove_all([entry for entry in entries if not entry.endpoint_id])
 
     def _remove_all(self, entries: Sequence[Entry]) -> None:
-        # All leave the book first, so that no withdrawal grants another one.
+        # Remove all first, so that no withdrawal causes a grant for another one.
         for entry in entries:
             self.request_table.remove(entry)
         for entry in entries:
@@ -472,7 +477,7 @@
         self._queue_known(self.request_table.waiting())
 
     def _queue_known(self, entries: Sequence[Entry]) -> None:
-        """Queue the entries that are still there, most urgent first."""
+        """Queue the entries that are still in the table, most urgent first."""
         for entry in sorted(entries, key=lambda one: one.urgency):
             known = entry.request_id in self.request_table.entries
             if known and not entry.in_core and self._may_queue(entry):
