--- a/src/pomelolane/coordination/__init__.py
+++ b/src/pomelolane/coordination/__init__.py
@@ -1,7 +1,7 @@
-"""How gateways and the scheduler role meet.
+"""Coordination of gateways and schedulers across VMs.
 
-Gateways hold the truth about their requests; schedulers are chosen by
-rendezvous hashing, hold soft state and are replaced at any moment.
+Gateways own the authoritative state of their requests. Schedulers are chosen by
+rendezvous hashing, keep only soft state and can be replaced at any time.
 """
 
 from pomelolane.coordination.chooser import Chooser
--- a/src/pomelolane/coordination/coordination.py
+++ b/src/pomelolane/coordination/coordination.py
@@ -1,6 +1,6 @@
-"""One VM's whole part in scheduling: its gateway's client and its role.
+"""One VM's scheduler client, scheduler role and local queues.
 
-Everything runs on the loop that ``start`` is called on.
+Everything runs on the event loop that ``start`` is called on.
 """
 
 from __future__ import annotations
@@ -39,20 +39,20 @@
     from pomelolane.ports import Clock, Membership, SchedulingCore, Transport
 
 SHARED_POLICIES = frozenset({"pomelolane", "single_queue", "objective"})
-"""Policies with one queue a service; the others decide at each gateway."""
+"""Policies with one queue per service; the others decide at each gateway."""
 
 _SPLIT_POLICIES = frozenset({"gateway_queues"})
 
 
 class Coordination:
-    """A VM's client, role and private desks, and what drives them.
+    """A VM's client, scheduler role and local queues, and the task that ticks them.
 
     Use :func:`make_coordination`.
 
     Attributes:
-        client: The scheduler client for this VM's gateway.
+        client: The scheduler client of this VM's gateway.
         role: The scheduler role of this VM.
-        poller: Asks the engines of the services that this VM schedules.
+        poller: Polls the engines of the services that this VM schedules, if enabled.
     """
 
     def __init__(
@@ -85,11 +85,11 @@
         self._handed_over = asyncio.Event()
         self._straggler_logger = StragglerLogger(clock)
         self._chooser = Chooser(vm_id, membership, clock)
-        # What a scheduler believes of others ages only while it runs itself.
+        # Timeouts of other VMs must not expire while this process is paused.
         steady = self._steady = SteadyClock(clock, self._handle_resume)
         self._counted_pauses_ms = 0.0
-        # The role hears of a change first, so that a gateway which follows
-        # its own VM finds the desk there.
+        # The role is notified of changes first, so that a gateway which follows
+        # its own VM finds the service queue there.
         self.role = SchedulerRole(
             vm_id, data_centre, self._chooser, transport, steady, make_core, timings
         )
@@ -109,10 +109,10 @@
         self._subscribe()
 
     def _handle_resume(self) -> None:
-        """Hold grants and refusals after a pause: the books are out of date.
+        """Hold grants and refusals after a pause until gateways have registered.
 
-        Requests that came in meanwhile may have gone on elsewhere, and must not
-        push out those that still wait here.
+        Requests that arrived meanwhile may have been served elsewhere; they must not
+        displace those that still wait here.
         """
         paused_ms = self._steady.paused_ms - self._counted_pauses_ms
         self._counted_pauses_ms = self._steady.paused_ms
@@ -139,7 +139,7 @@
     # --- settings ---------------------------------------------------------
 
     def configure(self, tree: Tree) -> None:
-        """Adopt a settings tree."""
+        """Apply a settings tree."""
         self._tree = tree
         self._leaving &= set(tree.endpoints)
         if self._is_shared:
@@ -148,7 +148,7 @@
         self.client.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Grant and use nothing more for an endpoint; repeats are ignored."""
+        """Stop granting and using an endpoint; repeated calls are ignored."""
         if endpoint_id in self._leaving:
             return
         self._leaving.add(endpoint_id)
@@ -157,7 +157,7 @@
         self._local.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
-        """Take back a mark: nobody says any more that an endpoint is leaving."""
+        """Remove a leaving mark: no VM reports the endpoint as leaving any more."""
         if endpoint_id not in self._leaving:
             return
         self._leaving.discard(endpoint_id)
@@ -168,7 +168,7 @@
     def _make_poller(
         self, clock: Clock, address_of: Callable[[Endpoint], str]
     ) -> ReportPoller:
-        # Its HTTP client is dear to load where no engine is asked.
+        # The import of its HTTP client is slow and not needed without polling.
         from pomelolane.coordination.reports import (
             PollerOptions,
             ReportPoller,
@@ -177,71 +177,71 @@
         options = PollerOptions(address_of, self._engine_leaving)
         return ReportPoller(self._polled_service_queues, clock, options)
 
-    # --- life -------------------------------------------------------------
+    # --- lifecycle --------------------------------------------------------
 
     async def start(self) -> None:
-        """Begin to tick and to ask engines for reports."""
+        """Start ticking and polling engines."""
         self._tasks = [asyncio.create_task(self._tick_forever())]
         if self.poller is not None:
             self._tasks.append(asyncio.create_task(self.poller.run()))
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop ticking and polling."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks = []
 
     async def handover(self) -> None:
-        """Give up the roles; return when no other gateway follows this VM."""
+        """Give up all roles; return when no other gateway follows this VM."""
         self._chooser.stop()
         self._handed_over.clear()
         self._check_handover()
         await self._handed_over.wait()
 
     def tick(self) -> None:
-        """Do everything that is due; called by the task of ``start``."""
+        """Tick the client and the role, as the task of ``start`` does."""
         self.tick_client()
         self.tick_role()
 
     def tick_client(self) -> None:
-        """Check deadlines and the schedulers' signs of life."""
+        """Check deadlines and whether the followed schedulers reply."""
         self._chooser.tick()
         self.client.tick()
 
     def tick_role(self) -> None:
-        """Drive all cores."""
+        """Run all service queues of the role and the local ones."""
         self.role.tick()
         self._local.tick()
         self._check_handover()
         self._straggler_logger.check(self._polled_service_queues())
 
     def schedules(self, service: str) -> bool:
-        """Tell whether this VM is the scheduler of a service."""
+        """Return whether this VM is the scheduler of a service."""
         return self.role.service_queue(service) is not None
 
     def schedulers(self) -> dict[str, str]:
-        """Return which VM schedules each service, as far as this VM can tell."""
+        """Return the VM that schedules each service, as this VM sees it."""
         return {name: self._chooser.scheduler(name) for name in self._tree.services}
 
     def successor(self, service: str) -> str:
-        """Return which VM schedules a service once its scheduler is gone, or ''."""
+        """Return the VM that takes over if a service's scheduler fails, or ''."""
         return self._chooser.successor(service)
 
     def standbys(self, service: str) -> frozenset[str]:
-        """Return the VMs that take the role where the scheduler is lost."""
+        """Return the VMs that take over if the scheduler or a data centre is lost."""
         return self._chooser.standbys(service)
 
     def incarnation_of(self, vm_id: str) -> int:
-        """Return the number of a VM's start, 0 while it is not in the view."""
+        """Return a VM's incarnation number, 0 while it is not in the view."""
         return self._chooser.incarnation_of(vm_id)
 
     def local_accounts(self) -> dict[str, LimitAccount]:
-        """Return what this VM's gateway let pass alone, by service."""
+        """Return the limit usage of this VM's local queues, by service."""
         return self._local.accounts()
 
     def waiting(self, service: str) -> int:
-        """Return how many requests wait at this VM's desk of a service."""
+        """Return how many requests wait in this VM's queue of a service."""
         service_queue = self.role.service_queue(service)
         return (
             sum(1 for _ in service_queue.request_table.waiting())
@@ -250,7 +250,7 @@
         )
 
     def status(self) -> CoordinationStatus:
-        """Return what operators may want to see."""
+        """Return the state that operators can inspect."""
         links = self.client.links()
         now_ms = self._clock.now_ms()
         service_queues = [
@@ -269,7 +269,7 @@
             suspects=self._chooser.suspects(),
         )
 
-    # --- inside -----------------------------------------------------------
+    # --- internals --------------------------------------------------------
 
     @property
     def _is_shared(self) -> bool:
@@ -311,10 +311,10 @@
             self._handed_over.set()
 
     def _engine_leaving(self, endpoint_id: str) -> None:
-        """Mark an engine that says so, once for each VM that hears it.
+        """Mark an engine that reports itself as leaving, and publish it once.
 
-        A mark is repeated by its makers only: whoever schedules the engine now
-        has to be one, or the mark would end with the VM that heard it first.
+        Only VMs that published a mark repeat it. The engine's current scheduler has to
+        be one of them, or the mark would vanish with the VM that published it first.
         """
         if endpoint_id not in self._leaving:
             log_event(ENDPOINT_LEAVING, endpoint=endpoint_id, source="engine")
@@ -325,14 +325,14 @@
 
     @property
     def period_ms(self) -> float:
-        """Time until the next tick: longer while nothing here waits for one."""
+        """Time until the next tick in ms, longer while this VM is idle."""
         service_queues = self.role.service_queues() or self._local.service_queues()
         if service_queues or self.client.is_waiting:
             return self._timings.client_tick_ms
         return self._timings.idle_tick_ms
 
     async def _tick_forever(self) -> None:
-        # Half a tick early is on time: sleeps are a little longer than asked for.
+        # Half a client tick of tolerance, as sleeps last a little too long.
         role_ms = self._timings.role_tick_ms - self._timings.client_tick_ms / 2
         role_ticked_ms = 0.0
         while True:
@@ -343,7 +343,7 @@
                 if now_ms - role_ticked_ms >= role_ms:
                     role_ticked_ms = now_ms
                     self.tick_role()
-            except Exception as error:  # a tick must not end the others
+            except Exception as error:  # a failed tick must not stop later ones
                 log_event(TASK_FAILED, task="coordination", error=repr(error))
 
 
@@ -363,24 +363,25 @@
     polls_engines: bool = True,
     known_vms: Callable[[], int] | None = None,
 ) -> Coordination:
-    """Return a VM's part in scheduling under a placement policy.
+    """Return the coordination of one VM under a placement policy.
 
     Args:
         vm_id: This VM.
-        data_centre: Where it stands.
-        transport: Way to the other VMs; messages to oneself loop back.
-        membership: Who is alive.
-        clock: Time.
+        data_centre: Data centre of this VM.
+        transport: Sends messages to other VMs; those to this VM loop back.
+        membership: Source of the view of live VMs.
+        clock: Source of the current time.
         policy: Name in ``registry.PLACEMENT_POLICIES``.
-        timings: Bounds, where others than the defaults are wanted.
-        incarnation: Number of this start; by default the view's.
-        make_core: Makes the core of a service; by default the registry's
+        timings: Timeouts and periods, by default those of ``Timings``.
+        incarnation: Incarnation number of this VM; by default the view's.
+        make_core: Creates the core of a service; by default the registry's
             factory of the policy.
-        address_of: This VM's route to an endpoint; by default the declared.
-        on_endpoint_leaving: Told when an engine says that it is leaving.
-        polls_engines: Whether engines are asked for load and cache events.
-        known_vms: Returns how many VMs there may be, alive or not. All of them may
-            have to go alone at one time, also those that one of them has not met.
+        address_of: Returns this VM's address of an endpoint; by default the declared
+            one.
+        on_endpoint_leaving: Called when an engine reports itself as leaving.
+        polls_engines: Whether engines are polled for load and cache events.
+        known_vms: Returns how many VMs may exist, alive or not. All of them may use
+            local queues at the same time, even VMs that this one has never seen.
     """
     if incarnation is None:
         own = membership.view().peers.get(vm_id)
@@ -403,7 +404,7 @@
 
 
 def _one_known_vm() -> int:
-    """Stand in where VMs are known by the view alone."""
+    """Return the default count if VMs are known only from the view."""
     return 1
 
 
@@ -412,7 +413,7 @@
 
 
 def _ignore(endpoint_id: str) -> None:
-    """Stand in where nobody wants to know."""
+    """Do nothing; the default callback."""
 
 
 def _defer(function: Callable[[], None]) -> None:
--- a/src/pomelolane/coordination/role.py
+++ b/src/pomelolane/coordination/role.py
@@ -1,7 +1,7 @@
-"""The scheduler role of a VM: a desk for each service that it is chosen for.
+"""The scheduler role of a VM: a queue for each service that it is chosen for.
 
-The role is taken and left by the view alone; no vote is held, and two holders
-at one time cost crowding and never a second run.
+The membership view alone decides who holds the role; there is no vote. Two holders at
+the same time can overload endpoints but never run a request twice.
 """
 
 from __future__ import annotations
@@ -35,13 +35,15 @@
     from pomelolane.ports import Clock, Peer, SchedulingCore, Transport
 
 ROLE_MESSAGES = (Submit, Sync, Progress, Withdraw, Unfollow, LimitsHeard)
-"""Kinds of messages that a scheduler takes from gateways."""
+"""Kinds of messages that a scheduler handles from gateways."""
 
 _SPARE_PART = 0.5
-"""Part of what is allowed beside a limit that new schedulers of all services together
-let pass before they have read the record of those before them, a few hundredths of a
-second; a quarter is for what those let pass unrecorded, another for gateways that go
-alone."""
+"""Part of the allowance beyond a limit that new schedulers may use, all together.
+
+It applies until they have read their predecessors' usage record, which takes a few
+hundredths of a second. One quarter is left for usage that the predecessors did not
+record, another for gateways that use local queues.
+"""
 
 
 class SchedulerRole:
@@ -49,12 +51,18 @@
 
     Args:
         vm_id: This VM.
-        data_centre: Where it stands.
-        chooser: Says which services are this VM's.
-        transport: Way to the gateways.
-        clock: Time.
-        make_core: Makes the core of a service.
-        timings: Bounds.
+        data_centre: Data centre of this VM.
+        chooser: Chooses the scheduler of each service.
+        transport: Sends messages to gateways.
+        clock: Source of the current time.
+        make_core: Creates the core of a service.
+        timings: Timeouts and periods.
+
+    Attributes:
+        on_misdirected: Called with a service for which a gateway took this VM as its
+            scheduler by mistake.
+        on_taken: Called with a service when the role is taken.
+        on_left: Called with a service when the role is given up.
     """
 
     def __init__(
@@ -94,10 +102,10 @@
         self.on_left: Callable[[str], None] = _ignore
         chooser.on_change(self.refresh)
 
-    # --- the facade -------------------------------------------------------
+    # --- called by Coordination -------------------------------------------
 
     def configure(self, tree: Tree) -> None:
-        """Adopt a settings tree."""
+        """Apply a settings tree."""
         self._tree = tree
         self._service_queues.keep_marks_of(tree.endpoints)
         for service in [
@@ -108,42 +116,42 @@
         self.refresh()
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Grant nothing more to an endpoint."""
+        """Stop granting an endpoint."""
         self._service_queues.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
-        """Take back a mark."""
+        """Remove the leaving mark of an endpoint."""
         self._service_queues.mark_returned(endpoint_id)
 
     def tick(self) -> None:
-        """Drive the desks, and end those that nobody follows any more."""
+        """Run the queues and close those that no gateway follows any more."""
         self._service_queues.tick()
         for service in list(self._lingering_since_ms):
             if not self._is_followed(service):
                 self._close(service)
 
     def _slot_owners_for(self, followers: frozenset[str]) -> tuple[str, ...]:
-        """Return the VMs among which a desk's slots are dealt, this one first.
+        """Return the VMs that share a queue's slots, this one first.
 
-        A VM that sees others of which none follows it may be the one that is
-        cut off, while they follow a scheduler of their own.
+        A VM that no other VM follows, though it sees some, may be cut off from them
+        while they follow a scheduler of their own.
         """
         if followers <= {self._vm_id}:
             return self._chooser.gateways_own_first()
         return (self._vm_id,)
 
     def service_queue(self, service: str) -> ServiceQueue | None:
-        """Return the desk of a service that this VM is chosen for."""
+        """Return the queue of a service that this VM schedules, None otherwise."""
         if service in self._lingering_since_ms:
             return None
         return self._service_queues.get(service)
 
     def service_queues(self) -> dict[str, ServiceQueue]:
-        """Return all desks by service, those about to end included."""
+        """Return all queues by service, including those about to close."""
         return self._service_queues.by_service()
 
     def is_followed_by_others(self) -> bool:
-        """Tell whether any other VM still follows this one."""
+        """Return whether any other VM still follows this one."""
         own = frozenset({self._vm_id})
         return any(
             service_queue.followers() - own
@@ -151,7 +159,7 @@
         )
 
     def refresh(self) -> None:
-        """Compare the roles with the view."""
+        """Take and give up roles as the current view requires."""
         self._update_scope()
         self._drop_lost_gateways()
         self._settle_for_joined()
@@ -165,7 +173,7 @@
     # --- messages ---------------------------------------------------------
 
     def receive(self, gateway: str, message: Message) -> None:
-        """Take a message of a gateway."""
+        """Handle a message from a gateway."""
         self._chooser.note_alive(gateway)
         match message:
             case Sync(epoch=epochs.PING):
@@ -179,7 +187,7 @@
                     service_queue.receive(gateway, message)
 
     def _handle_submit(self, gateway: str, message: Submit) -> None:
-        """Give each service of a submit to its desk; as a rule it is one."""
+        """Split a submit by service; usually it contains just one."""
         handles = [*message.waiting, *(one.handle for one in message.running)]
         services = {handle.service for handle in handles}
         if len(services) == 1:
@@ -215,10 +223,10 @@
         self.on_taken(service)
 
     def _settle_for_joined(self) -> None:
-        """Settle again where those that join may hold what nobody has told.
+        """Settle again if gateways that have joined may hold unknown requests.
 
-        A VM that has just started takes the role before it sees the others;
-        what its own gateway holds must not go past what waits with theirs.
+        A VM that has just started takes roles before it sees the other VMs. Requests of
+        its own gateway must not overtake those that wait at the others.
         """
         gateways = self._chooser.gateways()
         joined = gateways - self._known_gateways
@@ -229,7 +237,7 @@
                 service_queue.settle(gateways)
 
     def _core_of(self, service: str) -> SchedulingCore:
-        """Return a service's core, the same one each time the role is taken."""
+        """Return a service's core, reused whenever the role is taken again."""
         core = self._cores.get(service)
         if core is None:
             core = self._make_core(service)
@@ -277,4 +285,4 @@
 
 
 def _ignore(service: str) -> None:
-    """Stand in until the gateway's side is there to be asked."""
+    """Do nothing; the default callback."""
