--- a/src/pomelolane/coordination/__init__.py
+++ b/src/pomelolane/coordination/__init__.py
@@ -1,7 +1,7 @@
-"""How gateways and the scheduler role meet.
+"""Coordination of gateways and schedulers across VMs.
 
-Gateways hold the truth about their requests; schedulers are chosen by
-rendezvous hashing, hold soft state and are replaced at any moment.
+Gateways own the authoritative state of their requests. Schedulers are chosen by
+rendezvous hashing, keep only soft state and can be replaced at any time.
 """
 
 from pomelolane.coordination.chooser import Chooser
@@ -11,22 +11,26 @@
     Coordination,
     make_coordination,
 )
-from pomelolane.coordination.desk import Desk
-from pomelolane.coordination.options import Timings
 from pomelolane.coordination.role import SchedulerRole
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
-from pomelolane.coordination.status import CoordinationStatus, DeskStatus, LinkStatus
+from pomelolane.coordination.service_queue import ServiceQueue
+from pomelolane.coordination.status import (
+    CoordinationStatus,
+    LinkStatus,
+    ServiceQueueStatus,
+)
+from pomelolane.coordination.timings import Timings
 
 __all__ = [
     "SHARED_POLICIES",
     "Chooser",
     "Coordination",
     "CoordinationStatus",
-    "Desk",
-    "DeskStatus",
     "GatewayClient",
     "LinkStatus",
     "SchedulerRole",
+    "ServiceQueue",
+    "ServiceQueueStatus",
     "Timings",
     "make_coordination",
     "reachable_data_centres",
--- a/src/pomelolane/coordination/coordination.py
+++ b/src/pomelolane/coordination/coordination.py
@@ -1,6 +1,6 @@
-"""One VM's whole part in scheduling: its gateway's client and its role.
+"""One VM's scheduler client, scheduler role and local queues.
 
-Everything runs on the loop that ``start`` is called on.
+Everything runs on the event loop that ``start`` is called on.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from pomelolane.coordination.chooser import Chooser
 from pomelolane.coordination.client import CLIENT_MESSAGES, GatewayClient
 from pomelolane.coordination.epochs import Epochs
-from pomelolane.coordination.fallback import LocalDesks
-from pomelolane.coordination.options import LOCAL, Timings
-from pomelolane.coordination.pace import PaceWatch
+from pomelolane.coordination.local_queues import LocalQueues
 from pomelolane.coordination.role import ROLE_MESSAGES, SchedulerRole
 from pomelolane.coordination.scope import reachable_data_centres, scoped_tree
 from pomelolane.coordination.status import (
     CoordinationStatus,
-    desk_status,
     link_status,
+    service_queue_status,
 )
+from pomelolane.coordination.stragglers import StragglerLogger
 from pomelolane.coordination.tickets import LinkContext
+from pomelolane.coordination.timings import LOCAL, Timings
 from pomelolane.events import ENDPOINT_LEAVING, TASK_FAILED
 from pomelolane.logs import log_event
 from pomelolane.model import Tree
@@ -31,28 +31,28 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from pomelolane.coordination.account import Account
-    from pomelolane.coordination.desk import Desk
+    from pomelolane.coordination.limit_account import LimitAccount
     from pomelolane.coordination.reports import ReportPoller
+    from pomelolane.coordination.service_queue import ServiceQueue
     from pomelolane.messages import Message
     from pomelolane.model import Endpoint
     from pomelolane.ports import Clock, Membership, SchedulingCore, Transport
 
 SHARED_POLICIES = frozenset({"pomelolane", "single_queue", "objective"})
-"""Policies with one queue a service; the others decide at each gateway."""
+"""Policies with one queue per service; the others decide at each gateway."""
 
 _SPLIT_POLICIES = frozenset({"gateway_queues"})
 
 
 class Coordination:
-    """A VM's client, role and private desks, and what drives them.
+    """A VM's client, scheduler role and local queues, and the task that ticks them.
 
     Use :func:`make_coordination`.
 
     Attributes:
-        client: The scheduler client for this VM's gateway.
+        client: The scheduler client of this VM's gateway.
         role: The scheduler role of this VM.
-        poller: Asks the engines of the services that this VM schedules.
+        poller: Polls the engines of the services that this VM schedules, if enabled.
     """
 
     def __init__(
@@ -80,48 +80,48 @@
         self._on_endpoint_leaving = on_endpoint_leaving
         self._tree = Tree()
         self._leaving: set[str] = set()
-        self._told_leaving: set[str] = set()
+        self._reported_leaving: set[str] = set()
         self._tasks: list[asyncio.Task] = []
         self._handed_over = asyncio.Event()
-        self._pace = PaceWatch(clock)
+        self._straggler_logger = StragglerLogger(clock)
         self._chooser = Chooser(vm_id, membership, clock)
-        # What a scheduler believes of others ages only while it runs itself.
-        steady = self._steady = SteadyClock(clock, self._settle_anew)
+        # Timeouts of other VMs must not expire while this process is paused.
+        steady = self._steady = SteadyClock(clock, self._handle_resume)
         self._counted_pauses_ms = 0.0
-        # The role hears of a change first, so that a gateway which follows
-        # its own VM finds the desk there.
+        # The role is notified of changes first, so that a gateway which follows
+        # its own VM finds the service queue there.
         self.role = SchedulerRole(
             vm_id, data_centre, self._chooser, transport, steady, make_core, timings
         )
-        self._local = LocalDesks(
+        self._local = LocalQueues(
             vm_id,
             self._take_local_reply,
             steady,
             make_core,
             timings,
-            lambda: 1.0 / max(self._chooser.most_seen(), known_vms()),
-            self._dealt_to,
+            lambda: 1.0 / max(self._chooser.max_visible(), known_vms()),
+            self._slot_owners_for,
         )
-        self._chooser.on_change(self._rescope_local)
+        self._chooser.on_change(self._configure_local)
         self.client = GatewayClient(self._link_context(clock, incarnation))
-        self.role.on_doubt = self.client.probe
+        self.role.on_misdirected = self.client.probe
         self.poller = self._make_poller(clock, address_of) if polls_engines else None
         self._subscribe()
 
-    def _settle_anew(self) -> None:
-        """Hold grants and refusals after a pause: the books are out of date.
+    def _handle_resume(self) -> None:
+        """Hold grants and refusals after a pause until gateways have registered.
 
-        Requests that came in meanwhile may have gone on elsewhere, and must not
-        push out those that still wait here.
+        Requests that arrived meanwhile may have been served elsewhere; they must not
+        displace those that still wait here.
         """
         paused_ms = self._steady.paused_ms - self._counted_pauses_ms
         self._counted_pauses_ms = self._steady.paused_ms
         gateways = self._chooser.gateways()
-        for desk in self.role.desks().values():
-            desk.settle(gateways)
-            desk.note_pause(paused_ms)
-        for desk in self._local.desks().values():
-            desk.note_pause(paused_ms)
+        for service_queue in self.role.service_queues().values():
+            service_queue.settle(gateways)
+            service_queue.account_for_pause(paused_ms)
+        for service_queue in self._local.service_queues().values():
+            service_queue.account_for_pause(paused_ms)
 
     def _link_context(self, clock: Clock, incarnation: int) -> LinkContext:
         return LinkContext(
@@ -139,16 +139,16 @@
     # --- settings ---------------------------------------------------------
 
     def configure(self, tree: Tree) -> None:
-        """Adopt a settings tree."""
+        """Apply a settings tree."""
         self._tree = tree
         self._leaving &= set(tree.endpoints)
         if self._is_shared:
             self.role.configure(tree)
-        self._rescope_local()
+        self._configure_local()
         self.client.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Grant and use nothing more for an endpoint; repeats are ignored."""
+        """Stop granting and using an endpoint; repeated calls are ignored."""
         if endpoint_id in self._leaving:
             return
         self._leaving.add(endpoint_id)
@@ -157,7 +157,7 @@
         self._local.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
-        """Take back a mark: nobody says any more that an endpoint is leaving."""
+        """Remove a leaving mark: no VM reports the endpoint as leaving any more."""
         if endpoint_id not in self._leaving:
             return
         self._leaving.discard(endpoint_id)
@@ -168,97 +168,108 @@
     def _make_poller(
         self, clock: Clock, address_of: Callable[[Endpoint], str]
     ) -> ReportPoller:
-        # Its HTTP client is dear to load where no engine is asked.
+        # The import of its HTTP client is slow and not needed without polling.
         from pomelolane.coordination.reports import (
             PollerOptions,
             ReportPoller,
         )
 
-        options = PollerOptions(address_of, self._engine_leaves)
-        return ReportPoller(self._polled_desks, clock, options)
+        options = PollerOptions(address_of, self._engine_leaving)
+        return ReportPoller(self._polled_service_queues, clock, options)
 
-    # --- life -------------------------------------------------------------
+    # --- lifecycle --------------------------------------------------------
 
     async def start(self) -> None:
-        """Begin to tick and to ask engines for reports."""
+        """Start ticking and polling engines."""
         self._tasks = [asyncio.create_task(self._tick_forever())]
         if self.poller is not None:
             self._tasks.append(asyncio.create_task(self.poller.run()))
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop ticking and polling."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks = []
 
     async def handover(self) -> None:
-        """Give up the roles; return when no other gateway follows this VM."""
+        """Give up all roles; return when no other gateway follows this VM."""
         self._chooser.stop()
         self._handed_over.clear()
-        self._note_handover()
+        self._check_handover()
         await self._handed_over.wait()
 
     def tick(self) -> None:
-        """Do everything that is due; called by the task of ``start``."""
+        """Tick the client and the role, as the task of ``start`` does."""
         self.tick_client()
         self.tick_role()
 
     def tick_client(self) -> None:
-        """Check deadlines and the schedulers' signs of life."""
+        """Check deadlines and whether the followed schedulers reply."""
         self._chooser.tick()
         self.client.tick()
 
     def tick_role(self) -> None:
-        """Drive all cores."""
+        """Run all service queues of the role and the local ones."""
         self.role.tick()
         self._local.tick()
-        self._note_handover()
-        self._pace.look(self._polled_desks())
+        self._check_handover()
+        self._straggler_logger.check(self._polled_service_queues())
 
     def schedules(self, service: str) -> bool:
-        """Tell whether this VM is the scheduler of a service."""
-        return self.role.desk(service) is not None
+        """Return whether this VM is the scheduler of a service."""
+        return self.role.service_queue(service) is not None
 
     def schedulers(self) -> dict[str, str]:
-        """Return which VM schedules each service, as far as this VM can tell."""
+        """Return the VM that schedules each service, as this VM sees it."""
         return {name: self._chooser.scheduler(name) for name in self._tree.services}
 
     def successor(self, service: str) -> str:
-        """Return which VM schedules a service once its scheduler is gone, or ''."""
+        """Return the VM that takes over if a service's scheduler fails, or ''."""
         return self._chooser.successor(service)
 
-    def heirs(self, service: str) -> frozenset[str]:
-        """Return the VMs that take the role where the scheduler is lost."""
-        return self._chooser.heirs(service)
+    def standbys(self, service: str) -> frozenset[str]:
+        """Return the VMs that take over if the scheduler or a data centre is lost."""
+        return self._chooser.standbys(service)
 
     def incarnation_of(self, vm_id: str) -> int:
-        """Return the number of a VM's start, 0 while it is not in the view."""
+        """Return a VM's incarnation number, 0 while it is not in the view."""
         return self._chooser.incarnation_of(vm_id)
 
-    def private_accounts(self) -> dict[str, Account]:
-        """Return what this VM's gateway let pass alone, by service."""
+    def local_accounts(self) -> dict[str, LimitAccount]:
+        """Return the limit usage of this VM's local queues, by service."""
         return self._local.accounts()
 
     def waiting(self, service: str) -> int:
-        """Return how many requests wait at this VM's desk of a service."""
-        desk = self.role.desk(service)
-        return sum(1 for _ in desk.book.waiting()) if desk is not None else 0
+        """Return how many requests wait in this VM's queue of a service."""
+        service_queue = self.role.service_queue(service)
+        return (
+            sum(1 for _ in service_queue.request_table.waiting())
+            if service_queue is not None
+            else 0
+        )
 
     def status(self) -> CoordinationStatus:
-        """Return what operators may want to see."""
+        """Return the state that operators can inspect."""
         links = self.client.links()
         now_ms = self._clock.now_ms()
-        desks = [*self.role.desks().values(), *self._local.desks().values()]
-        roles = [name for name in self.role.desks() if self.role.desk(name)]
+        service_queues = [
+            *self.role.service_queues().values(),
+            *self._local.service_queues().values(),
+        ]
+        roles = [
+            name for name in self.role.service_queues() if self.role.service_queue(name)
+        ]
         return CoordinationStatus(
             links=tuple(link_status(links[name], now_ms) for name in sorted(links)),
             roles=tuple(sorted(roles)),
-            desks=tuple(desk_status(desk) for desk in desks),
+            service_queues=tuple(
+                service_queue_status(service_queue) for service_queue in service_queues
+            ),
             suspects=self._chooser.suspects(),
         )
 
-    # --- inside -----------------------------------------------------------
+    # --- internals --------------------------------------------------------
 
     @property
     def _is_shared(self) -> bool:
@@ -278,50 +289,50 @@
     def _take_local_reply(self, message: Message) -> None:
         self.client.receive(LOCAL, message)
 
-    def _dealt_to(self) -> tuple[str, ...]:
-        return self._chooser.gateways_from_own() if self._is_shared else ()
+    def _slot_owners_for(self) -> tuple[str, ...]:
+        return self._chooser.gateways_own_first() if self._is_shared else ()
 
     def _share(self) -> float:
         if self._policy not in _SPLIT_POLICIES:
             return 1.0
         return 1.0 / len(self._chooser.gateways())
 
-    def _rescope_local(self) -> None:
+    def _configure_local(self) -> None:
         view = self._chooser.view()
         data_centres = reachable_data_centres(view, self._data_centre)
         self._local.configure(scoped_tree(self._tree, data_centres), self._share())
 
-    def _polled_desks(self) -> list[Desk]:
-        held = [self.role.desk(name) for name in self.role.desks()]
-        return [*filter(None, held), *self._local.desks().values()]
+    def _polled_service_queues(self) -> list[ServiceQueue]:
+        held = [self.role.service_queue(name) for name in self.role.service_queues()]
+        return [*filter(None, held), *self._local.service_queues().values()]
 
-    def _note_handover(self) -> None:
+    def _check_handover(self) -> None:
         if not self.role.is_followed_by_others():
             self._handed_over.set()
 
-    def _engine_leaves(self, endpoint_id: str) -> None:
-        """Mark an engine that says so, once for each VM that hears it.
+    def _engine_leaving(self, endpoint_id: str) -> None:
+        """Mark an engine that reports itself as leaving, and publish it once.
 
-        A mark is repeated by its makers only: whoever schedules the engine now
-        has to be one, or the mark would end with the VM that heard it first.
+        Only VMs that published a mark repeat it. The engine's current scheduler has to
+        be one of them, or the mark would vanish with the VM that published it first.
         """
         if endpoint_id not in self._leaving:
             log_event(ENDPOINT_LEAVING, endpoint=endpoint_id, source="engine")
             self.mark_leaving(endpoint_id)
-        if endpoint_id not in self._told_leaving:
-            self._told_leaving.add(endpoint_id)
+        if endpoint_id not in self._reported_leaving:
+            self._reported_leaving.add(endpoint_id)
             self._on_endpoint_leaving(endpoint_id)
 
     @property
     def period_ms(self) -> float:
-        """Time until the next tick: longer while nothing here waits for one."""
-        desks = self.role.desks() or self._local.desks()
-        if desks or self.client.is_waiting:
+        """Time until the next tick in ms, longer while this VM is idle."""
+        service_queues = self.role.service_queues() or self._local.service_queues()
+        if service_queues or self.client.is_waiting:
             return self._timings.client_tick_ms
-        return self._timings.calm_tick_ms
+        return self._timings.idle_tick_ms
 
     async def _tick_forever(self) -> None:
-        # Half a tick early is on time: sleeps are a little longer than asked for.
+        # Half a client tick of tolerance, as sleeps last a little too long.
         role_ms = self._timings.role_tick_ms - self._timings.client_tick_ms / 2
         role_ticked_ms = 0.0
         while True:
@@ -332,7 +343,7 @@
                 if now_ms - role_ticked_ms >= role_ms:
                     role_ticked_ms = now_ms
                     self.tick_role()
-            except Exception as error:  # a tick must not end the others
+            except Exception as error:  # a failed tick must not stop later ones
                 log_event(TASK_FAILED, task="coordination", error=repr(error))
 
 
@@ -352,24 +363,25 @@
     polls_engines: bool = True,
     known_vms: Callable[[], int] | None = None,
 ) -> Coordination:
-    """Return a VM's part in scheduling under a placement policy.
+    """Return the coordination of one VM under a placement policy.
 
     Args:
         vm_id: This VM.
-        data_centre: Where it stands.
-        transport: Way to the other VMs; messages to oneself loop back.
-        membership: Who is alive.
-        clock: Time.
+        data_centre: Data centre of this VM.
+        transport: Sends messages to other VMs; those to this VM loop back.
+        membership: Source of the view of live VMs.
+        clock: Source of the current time.
         policy: Name in ``registry.PLACEMENT_POLICIES``.
-        timings: Bounds, where others than the defaults are wanted.
-        incarnation: Number of this start; by default the view's.
-        make_core: Makes the core of a service; by default the registry's
+        timings: Timeouts and periods, by default those of ``Timings``.
+        incarnation: Incarnation number of this VM; by default the view's.
+        make_core: Creates the core of a service; by default the registry's
             factory of the policy.
-        address_of: This VM's route to an endpoint; by default the declared.
-        on_endpoint_leaving: Told when an engine says that it is leaving.
-        polls_engines: Whether engines are asked for load and cache events.
-        known_vms: Returns how many VMs there may be, alive or not. All of them may
-            have to go alone at one time, also those that one of them has not met.
+        address_of: Returns this VM's address of an endpoint; by default the declared
+            one.
+        on_endpoint_leaving: Called when an engine reports itself as leaving.
+        polls_engines: Whether engines are polled for load and cache events.
+        known_vms: Returns how many VMs may exist, alive or not. All of them may use
+            local queues at the same time, even VMs that this one has never seen.
     """
     if incarnation is None:
         own = membership.view().peers.get(vm_id)
@@ -387,12 +399,12 @@
         address_of or _declared_address,
         on_endpoint_leaving or _ignore,
         polls_engines,
-        known_vms or _known_to_none,
+        known_vms or _one_known_vm,
     )
 
 
-def _known_to_none() -> int:
-    """Stand in where VMs are known by the view alone."""
+def _one_known_vm() -> int:
+    """Return the default count if VMs are known only from the view."""
     return 1
 
 
@@ -401,7 +413,7 @@
 
 
 def _ignore(endpoint_id: str) -> None:
-    """Stand in where nobody wants to know."""
+    """Do nothing; the default callback."""
 
 
 def _defer(function: Callable[[], None]) -> None:
--- a/src/pomelolane/coordination/fallback.py
+++ b/src/pomelolane/coordination/local_queues.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from pomelolane.coordination.account import Account
-from pomelolane.coordination.desks import Desks
+from pomelolane.coordination.limit_account import LimitAccount
+from pomelolane.coordination.service_queues import ServiceQueues
 from pomelolane.messages import Unfollow
 from pomelolane.model import Tree
 
@@ -24,14 +24,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from pomelolane.coordination.desk import Desk
-    from pomelolane.coordination.options import Timings
+    from pomelolane.coordination.service_queue import ServiceQueue
+    from pomelolane.coordination.timings import Timings
     from pomelolane.messages import Message
     from pomelolane.ports import Clock, SchedulingCore
     from pomelolane.scheduler.limits import LimitBook
 
 
-class LocalDesks:
+class LocalQueues:
     """Private desks of one gateway, made when first needed.
 
     Args:
@@ -52,7 +52,7 @@
         make_core: Callable[[str], SchedulingCore],
         timings: Timings,
         rate_share: Callable[[], float],
-        dealt_to: Callable[[], tuple[str, ...]],
+        slot_owners_for: Callable[[], tuple[str, ...]],
     ) -> None:
         self._vm_id = vm_id
         self._reply = reply
@@ -63,41 +63,43 @@
         self._clock = clock
         # The own gateway needs no sign of life.
         patient = replace(timings, follower_silence_ms=math.inf)
-        self._desks = Desks(
+        self._service_queues = ServiceQueues(
             self._core_of,
             self._send,
             clock,
             patient,
             lambda followers: self._share,
             rate_share,
-            lambda followers: dealt_to(),
+            lambda followers: slot_owners_for(),
         )
 
     def configure(self, tree: Tree, share: float) -> None:
         """Adopt a tree, cut down to what may be granted, and the own share."""
         self._tree = tree
         self._share = share
-        self._desks.configure(tree)
+        self._service_queues.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
         """Grant nothing more to an endpoint."""
-        self._desks.mark_leaving(endpoint_id)
+        self._service_queues.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
         """Take back a mark."""
-        self._desks.mark_returned(endpoint_id)
+        self._service_queues.mark_returned(endpoint_id)
 
     def tick(self) -> None:
         """Drive the desks."""
-        self._desks.tick()
+        self._service_queues.tick()
 
-    def desks(self) -> dict[str, Desk]:
+    def service_queues(self) -> dict[str, ServiceQueue]:
         """Return the desks by service."""
-        return self._desks.by_service()
+        return self._service_queues.by_service()
 
-    def accounts(self) -> dict[str, Account]:
+    def accounts(self) -> dict[str, LimitAccount]:
         """Return what was let pass here, by service, also in earlier turns."""
-        return {name: Account(book, self._clock) for name, book in self._books.items()}
+        return {
+            name: LimitAccount(book, self._clock) for name, book in self._books.items()
+        }
 
     def _core_of(self, service: str) -> SchedulingCore:
         """Return a new core that goes on with what earlier ones let pass.
@@ -112,20 +114,20 @@
     def receive(self, service: str, message: Message) -> bool:
         """Take a message of the gateway; without a service it is for all."""
         if isinstance(message, Unfollow):
-            self._desks.close(service)
+            self._service_queues.close(service)
         elif service:
             self._open(service).receive(self._vm_id, message)
         else:
-            for desk in self._desks.all():
-                desk.receive(self._vm_id, message)
+            for service_queue in self._service_queues.all():
+                service_queue.receive(self._vm_id, message)
         return True
 
-    def _open(self, service: str) -> Desk:
-        desk = self._desks.get(service)
-        if desk is None:
-            desk = self._desks.open(service, self._tree)
-            desk.account.assume_used(_SPARE_PART)
-        return desk
+    def _open(self, service: str) -> ServiceQueue:
+        service_queue = self._service_queues.get(service)
+        if service_queue is None:
+            service_queue = self._service_queues.open(service, self._tree)
+            service_queue.account.assume_used(_SPARE_PART)
+        return service_queue
 
     def _send(self, gateway: str, message: Message) -> None:
         del gateway
--- a/src/pomelolane/forwarding/failures.py
+++ b/src/pomelolane/forwarding/failures.py
@@ -13,7 +13,7 @@
 from pomelolane.outcomes import Outcome, Reason, Refusal
 
 if TYPE_CHECKING:
-    from pomelolane.coordination.watch import StreamWatch
+    from pomelolane.coordination.stream_reporter import StreamReporter
     from pomelolane.endpoints import AnswerStream
     from pomelolane.forwarding.call import CallState
     from pomelolane.forwarding.stall import StallWatch
@@ -37,7 +37,7 @@
 
 
 def refused_by_endpoint(
-    state: CallState, watch: StreamWatch, detail: str
+    state: CallState, watch: StreamReporter, detail: str
 ) -> RetrySignal:
     """Record a send that the endpoint certainly has not begun to run."""
     state.excluded += (state.endpoint_id,)
@@ -46,7 +46,7 @@
 
 
 def broken_by_endpoint(
-    state: CallState, watch: StreamWatch, detail: str
+    state: CallState, watch: StreamReporter, detail: str
 ) -> RetrySignal:
     """Record a failed send that the endpoint may have begun to run."""
     state.excluded += (state.endpoint_id,)
@@ -56,7 +56,7 @@
 
 def incomplete_answer(
     state: CallState,
-    watch: StreamWatch,
+    watch: StreamReporter,
     stream: AnswerStream,
     stall: StallWatch | None,
 ) -> RetrySignal:
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane import events
-from pomelolane.coordination.watch import StreamWatch
+from pomelolane.coordination.stream_reporter import StreamReporter
 from pomelolane.exceptions import (
     BadRequestError,
     EndpointBrokenError,
@@ -223,7 +223,7 @@
             if isinstance(grant, Refusal):
                 return refusal_after_sends(state, grant)
             state.tries += 1
-            watch = StreamWatch(self._client, grant, self._clock)
+            watch = StreamReporter(self._client, grant, self._clock)
             try:
                 await self._attempt(state, relay, grant, watch)
             except RetrySignal as retry:
@@ -246,7 +246,7 @@
         return grant
 
     async def _attempt(
-        self, state: CallState, relay: Relay, grant: Grant, watch: StreamWatch
+        self, state: CallState, relay: Relay, grant: Grant, watch: StreamReporter
     ) -> None:
         """Send the request to one endpoint and relay its answer.
 
@@ -269,7 +269,7 @@
         state.run = self._crashes.begin(call.fingerprint, endpoint)
         may_have_run, state.may_have_run = state.may_have_run, True
         state.sends += 1
-        watch.dispatched()
+        watch.note_dispatch()
         request_log.sent(
             state, grant, remaining_ms, self._clock.now_ms(), self._directory.age_ms
         )
@@ -313,7 +313,7 @@
         state: CallState,
         relay: Relay,
         sent: SendResult,
-        watch: StreamWatch,
+        watch: StreamReporter,
         endpoint: Endpoint,
     ) -> None:
         stream = sent.stream
@@ -323,16 +323,16 @@
             if failed and self._reserve_retry(state):
                 # The endpoint answered, so it has not crashed; its service failed.
                 state.run.settle()
-                watch.first()
+                watch.note_first_byte()
                 detail = f"the endpoint answered {stream.status}"
                 retry = broken_by_endpoint(state, watch, detail)
                 retry.is_charged = True
                 raise retry
             await stream.wait()
             if not stream.is_broken_unread:
-                watch.first()
+                watch.note_first_byte()
                 self._observe_first_byte(state)
-            end = await relay.relay(stream, watch.progress, stall)
+            end = await relay.relay(stream, watch.note_tokens, stall)
         finally:
             if stall is not None:
                 stall.stop()
--- a/src/pomelolane/forwarding/usage_publisher.py
+++ b/src/pomelolane/forwarding/usage_publisher.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from pomelolane.coordination import Coordination, Desk
+    from pomelolane.coordination import Coordination, ServiceQueue
     from pomelolane.forwarding.usage_exchange import UsageExchange
     from pomelolane.scheduler.spans import Use
 
@@ -62,7 +62,7 @@
         Args:
             full: Send all usage instead of increments.
         """
-        desks = self._coordination.role.desks()
+        desks = self._coordination.role.service_queues()
         for service in self._receiver_incarnations.keys() - desks.keys():
             del self._receiver_incarnations[service]
         if self._usage_exchange.consume_record_read():
@@ -99,7 +99,7 @@
 
     def _publish_private(self, *, full: bool) -> None:
         """Publish what this VM's gateway admitted while it reached no scheduler."""
-        accounts = self._coordination.private_accounts()
+        accounts = self._coordination.local_accounts()
         if not accounts:
             return
         receivers = frozenset(self._coordination.schedulers().values())
@@ -122,7 +122,7 @@
         # A successor in one role must also know the usage of this VM's other roles.
         for name, vm in schedulers.items():
             if vm == self._vm_id:
-                receivers |= self._coordination.heirs(name) - {self._vm_id}
+                receivers |= self._coordination.standbys(name) - {self._vm_id}
         return frozenset(receivers - {""})
 
     def _send(
@@ -159,9 +159,9 @@
         for desk in self._desks_except(source):
             desk.account.hear(source, uses, adds=adds)
 
-    def _desks_except(self, source: tuple[str, str]) -> list[Desk]:
+    def _desks_except(self, source: tuple[str, str]) -> list[ServiceQueue]:
         """Return the desks of this VM except the one that `source` belongs to."""
-        desks = self._coordination.role.desks()
+        desks = self._coordination.role.service_queues()
         return [
             desk
             for service, desk in desks.items()
--- a/tests/steps/scheduler_rate_steps.py
+++ b/tests/steps/scheduler_rate_steps.py
@@ -148,7 +148,7 @@
     holder = context.world.vms[context.world.scheduler()]
     context.successor = holder.coordination.successor("pool")
     client = context.world.vms[context.successor].coordination.client
-    client.links()["pool"].limits.forget(["a/1"])
+    client.links()["pool"].limits.remove(["a/1"])
 
 
 @when("the scheduler dies, and its successor is the last to see that")
@@ -167,7 +167,7 @@
 
 @then("the successor keeps the endpoint's limit")
 def step_successor_knows(context):
-    desk = context.world.vms[context.successor].coordination.role.desk("pool")
+    desk = context.world.vms[context.successor].coordination.role.service_queue("pool")
     assert desk.core.limited_endpoints() == {"a/1"}
 
 
