--- a/src/pomelolane/ports/scheduling.py
+++ b/src/pomelolane/ports/scheduling.py
@@ -88,19 +88,19 @@
 class VersionTrial(Protocol):
     """The trial of a new version of a service's endpoints, as its core sees it."""
 
-    def arrived_with(self, handle: Handle) -> None:
+    def count_arrival(self, handle: Handle) -> None:
         """Count a request for the service."""
 
-    def takes(self, handle: Handle) -> bool:
+    def should_get(self, handle: Handle) -> bool:
         """Tell whether a request should go to the new version."""
 
-    def candidates(self) -> Sequence[str]:
+    def endpoints_to_try(self) -> Sequence[str]:
         """Return the endpoints of that version to try, in this order."""
 
-    def granted(self, endpoint_id: str, work: str) -> None:
+    def count_grant(self, endpoint_id: str, work: str) -> None:
         """Count a request that was given to an endpoint, of either version."""
 
-    def answered(
+    def record_answer(
         self,
         endpoint_id: str,
         work: str,
--- a/src/pomelolane/rollouts/trial.py
+++ b/src/pomelolane/rollouts/trial.py
@@ -117,13 +117,13 @@
 
     # --- requests -----------------------------------------------------------
 
-    def arrived_with(self, handle: Handle) -> None:
+    def count_arrival(self, handle: Handle) -> None:
         """Count a request, unless it has come before."""
         if handle.attempt == 0 and not handle.excluded and not handle.admitted:
             self.arrived += 1
             self._arrived_by_work[handle.work] += 1
 
-    def takes(self, handle: Handle) -> bool:
+    def should_get(self, handle: Handle) -> bool:
         """Tell whether a request should go to the new version.
 
         Repeats go where the version is proved. Each route gets its part: some versions
@@ -157,12 +157,12 @@
         slots = [self._new[name].slots for name in self._focus[:1]]
         return min(slots, default=1)
 
-    def candidates(self) -> list[str]:
+    def endpoints_to_try(self) -> list[str]:
         """Return the endpoints to try, in this order."""
         doubted = self.judge.doubted
         return [name for name in self._focus if name not in doubted]
 
-    def granted(self, endpoint_id: str, work: str) -> None:
+    def count_grant(self, endpoint_id: str, work: str) -> None:
         """Count a request that was given to an endpoint, of either version."""
         if endpoint_id not in self._new:
             return
@@ -177,7 +177,7 @@
         if self._burst_left == 0 and self._focus:
             self._focus.append(self._focus.pop(0))
 
-    def answered(
+    def record_answer(
         self,
         endpoint_id: str,
         work: str,
--- a/src/pomelolane/scheduler/objective/core.py
+++ b/src/pomelolane/scheduler/objective/core.py
@@ -259,14 +259,14 @@
         """Return the endpoint of a version on trial that should get a request."""
         if self.trial is None:
             return None
-        self.trial.arrived_with(waiting.handle)
-        if not self.trial.takes(waiting.handle):
+        self.trial.count_arrival(waiting.handle)
+        if not self.trial.should_get(waiting.handle):
             return None
-        candidates = self.trial.candidates()
+        candidates = self.trial.endpoints_to_try()
         return self._fleet.place_on_trial(waiting, candidates, now_ms)
 
     def _tell_trial(self, flight: Flight, event: StreamEvent, now_ms: float) -> None:
-        self.trial.answered(
+        self.trial.record_answer(
             event.endpoint_id,
             flight.handle.work,
             now_ms,
@@ -404,7 +404,7 @@
         self.limits.granted(handle, handle.charge_tokens, waiting.submitted_ms, now_ms)
         self._flights[handle.request_id] = worker.endpoint.endpoint_id
         if self.trial is not None:
-            self.trial.granted(worker.endpoint.endpoint_id, handle.work)
+            self.trial.count_grant(worker.endpoint.endpoint_id, handle.work)
         grant = Grant(
             handle.request_id, worker.endpoint.endpoint_id, flight.expected_ms
         )
