--- a/src/pomelolane/scheduler/objective/admission.py
+++ b/src/pomelolane/scheduler/objective/admission.py
@@ -1,4 +1,4 @@
-"""Judges which waiting requests could only be answered too late."""
+"""Admission control: predicts which requests would be answered too late."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from pomelolane.scheduler.objective.demand import Demand
 from pomelolane.scheduler.objective.forecast import (
-    FleetPace,
-    Outlook,
-    forecast_of_workers,
+    FleetLatencyModel,
+    WaitForecast,
+    forecast_slots,
 )
 
 if TYPE_CHECKING:
     from pomelolane.scheduler.objective.fleet import Fleet
     from pomelolane.scheduler.objective.options import ObjectiveOptions
-    from pomelolane.scheduler.objective.waiting import Waiting, WaitingRequests
+    from pomelolane.scheduler.objective.waiting import WaitingRequest, WaitingRequests
 
-_OUTLOOK_MS = 50.0
-"""Age up to which a prediction of waits is used for arrivals: the period of ticks,
-each of which makes a new one. One for each arrival would take most of a core where
-hundreds arrive in a second."""
+_FORECAST_MAX_AGE_MS = 50.0
+"""Maximum age of a forecast reused for new requests: the tick period, as each tick
+makes a new forecast. One forecast per request would take most of a CPU core at hundreds
+of requests per second."""
 
-_MOST_SHARE = 0.98
-"""Most of the slots that more urgent ranks are taken to keep: waits are then fifty
-times as long, which is never in anybody's objective."""
+_MAX_MORE_URGENT_SHARE = 0.98
+"""Upper bound on the share of slots attributed to more urgent ranks. Waits are then
+fifty times as long, which exceeds every objective."""
 
 
 class Admission:
-    """Predicts waits at one service's endpoints.
+    """Predicts queueing delays at one service's endpoints.
 
     Args:
-        options: Constants.
+        options: Tuning constants of the policy.
         fleet: The endpoints.
     """
 
@@ -38,56 +38,74 @@
         self._options = options
         self._fleet = fleet
         self._demand = Demand(options.demand_ms)
-        self._outlook: Outlook | None = None
+        self._wait_forecast: WaitForecast | None = None
 
-    def granted(self, rank: int, slot_ms: float, now_ms: float) -> None:
-        """Count a request that will hold a slot for a time."""
+    def record_grant(self, rank: int, slot_ms: float, now_ms: float) -> None:
+        """Record a granted request and how long it is expected to hold its slot."""
         self._demand.add(rank, slot_ms, now_ms)
 
-    def recent_outlook(
+    def recent_forecast(
         self, waiting_requests: WaitingRequests, now_ms: float
-    ) -> Outlook:
-        """Return a prediction for what waits that is young enough for an arrival."""
-        outlook = self._outlook
-        if outlook is None or now_ms - outlook.made_ms > _OUTLOOK_MS:
-            outlook = self.new_outlook(now_ms)
-            for waiting in waiting_requests.in_order():
-                outlook.append(waiting.key, waiting.handle)
-        return outlook
-
-    def new_outlook(self, now_ms: float) -> Outlook:
-        """Return a prediction with nothing waiting, to which that is appended."""
+    ) -> WaitForecast:
+        """Return a forecast that covers the queue and is at most one tick old."""
+        wait_forecast = self._wait_forecast
+        if (
+            wait_forecast is None
+            or now_ms - wait_forecast.created_ms > _FORECAST_MAX_AGE_MS
+        ):
+            wait_forecast = self.new_forecast(now_ms)
+            for waiting in waiting_requests.on_time_in_order():
+                wait_forecast.append(waiting.key, waiting.handle)
+        return wait_forecast
+
+    def new_forecast(self, now_ms: float) -> WaitForecast:
+        """Return a forecast of the slots alone, to append waiting requests to."""
         staying = [worker for worker in self._fleet if not worker.leaving]
-        forecast = forecast_of_workers(staying, self._fleet.share, now_ms)
-        pace = FleetPace([worker.pace() for worker in staying])
-        self._outlook = Outlook(forecast, pace, now_ms)
-        return self._outlook
+        forecast = forecast_slots(staying, self._fleet.share, now_ms)
+        latency = FleetLatencyModel([worker.latency_model() for worker in staying])
+        self._wait_forecast = WaitForecast(forecast, latency, now_ms)
+        return self._wait_forecast
 
-    def may_refuse(self, waiting: Waiting, now_ms: float) -> bool:
-        """Tell whether a refusal now still leaves the caller time elsewhere."""
+    def may_refuse(self, waiting: WaitingRequest, now_ms: float) -> bool:
+        """Return whether a refusal now leaves the caller time to try elsewhere."""
         objective_ms = waiting.handle.objective_ms
         if objective_ms <= 0:
             return False
         held_ms = objective_ms - (waiting.objective_at_ms - now_ms)
         return held_ms <= self._options.early_share * objective_ms
 
-    def late_ms(
-        self, waiting: Waiting, start_ms: float, outlook: Outlook, now_ms: float
+    def lateness_ms(
+        self,
+        waiting: WaitingRequest,
+        start_ms: float,
+        wait_forecast: WaitForecast,
+        now_ms: float,
     ) -> float:
-        """Return by how much an answer would be late that is begun after a wait.
-
-        The wait counts those that are ahead now. The more urgent ones that come
-        meanwhile make it longer: a request that is due only when its caller leaves
-        would wait in vain. They are not held against an earlier objective: bursts
-        end, and more would be refused for nothing.
+        """Return how late an answer would be, negative if it would be on time.
+
+        The predicted wait counts only requests that are ahead now; more urgent ones
+        that arrive later make it longer. That is corrected for only where a request is
+        due no sooner than its caller disconnects, as it would wait in vain. Earlier
+        objectives are not corrected: bursts end, and requests that could be on time
+        would be refused.
+
+        Args:
+            waiting: The request.
+            start_ms: Predicted wait for a slot.
+            wait_forecast: The forecast that predicted it.
+            now_ms: Current time.
         """
         start_ms *= self._options.wait_factor
         if waiting.handle.late_window_ms <= 0:
-            start_ms /= 1.0 - self._share_above(waiting, outlook, now_ms)
-        first_ms = outlook.pace.first_ms(waiting.handle) + self._fleet.margin_ms()
-        return now_ms + start_ms + first_ms - waiting.objective_at_ms
-
-    def _share_above(self, waiting: Waiting, outlook: Outlook, now_ms: float) -> float:
-        """Return the part of all slots that more urgent requests take."""
-        busy = self._demand.slots_above(waiting.handle.tier_rank, now_ms)
-        return min(_MOST_SHARE, busy / outlook.slots)
+            start_ms /= 1.0 - self._more_urgent_share(waiting, wait_forecast, now_ms)
+        ttft_ms = (
+            wait_forecast.latency.min_ttft_ms(waiting.handle) + self._fleet.margin_ms()
+        )
+        return now_ms + start_ms + ttft_ms - waiting.objective_at_ms
+
+    def _more_urgent_share(
+        self, waiting: WaitingRequest, wait_forecast: WaitForecast, now_ms: float
+    ) -> float:
+        """Return the share of all slots that more urgent requests use."""
+        busy = self._demand.slots_for_more_urgent(waiting.handle.tier_rank, now_ms)
+        return min(_MAX_MORE_URGENT_SHARE, busy / wait_forecast.slots)
--- a/src/pomelolane/scheduler/objective/core.py
+++ b/src/pomelolane/scheduler/objective/core.py
@@ -1,4 +1,4 @@
-"""The decision core of the objective policy; pure, time is passed in."""
+"""Scheduling core of the objective policy: no I/O, time is passed in."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from pomelolane.registry import PLACEMENT_POLICIES, register
 from pomelolane.scheduler.limits import LimitBook
 from pomelolane.scheduler.objective.admission import Admission
-from pomelolane.scheduler.objective.fleet import Fleet, most_room
+from pomelolane.scheduler.objective.fleet import Fleet, longest_accepted_prompt
 from pomelolane.scheduler.objective.options import ObjectiveOptions
-from pomelolane.scheduler.objective.rate import rate_answered, rate_told
+from pomelolane.scheduler.objective.rate import rate_after_answer, rate_after_report
 from pomelolane.scheduler.objective.waiting import (
     WaitingRequests,
     waiting_from_handle,
@@ -32,30 +32,30 @@
         VersionTrial,
     )
     from pomelolane.scheduler.objective.flight import Flight
-    from pomelolane.scheduler.objective.forecast import Outlook
-    from pomelolane.scheduler.objective.waiting import Waiting, WaitingLine
+    from pomelolane.scheduler.objective.forecast import WaitForecast
+    from pomelolane.scheduler.objective.waiting import RequestQueue, WaitingRequest
     from pomelolane.scheduler.objective.worker import Worker, WorkerFigures
 
-_TRIES = 12
-"""Waiting requests looked at after the first one that finds no place."""
+_MAX_UNPLACED_REQUESTS = 12
+"""Requests that may find no endpoint in one pass over a queue before it stops."""
 
-_WITHDRAWN_MS = 15_000.0
-"""How long a withdrawn request is remembered: as long as callers wait at most."""
+_WITHDRAWN_RETENTION_MS = 15_000.0
+"""How long withdrawn request ids are kept: the longest time that callers wait."""
 
-_SERVICE_STEP = 0.05
-_FIRST_SERVICE_MS = 300.0
+_SERVICE_TIME_SMOOTHING = 0.05
+_INITIAL_SERVICE_MS = 300.0
 
 
 class ObjectiveCore:
-    """Grants slots of one service's endpoints.
+    """Queues the requests of one service and grants them slots of its endpoints.
 
     Args:
-        service_name: The service.
-        options: Constants.
+        service_name: Name of the service.
+        options: Tuning constants of the policy.
 
     Attributes:
-        limits: What organisations used of their limits.
-        trial: The trial of a new version, if there is one.
+        limits: Usage of the organisations' rate limits.
+        trial: The running trial of a new endpoint version, None without one.
     """
 
     def __init__(self, service_name: str, options: ObjectiveOptions) -> None:
@@ -68,13 +68,13 @@
         self._admission = Admission(options, self._fleet)
         self._flights: dict[str, str] = {}
         self._withdrawn: dict[str, float] = {}
-        self._service_ms = _FIRST_SERVICE_MS
+        self._mean_service_ms = _INITIAL_SERVICE_MS
         self._now_ms = 0.0
 
     # --- settings ---------------------------------------------------------
 
     def configure(self, tree: Tree, now_ms: float) -> Sequence[Decision]:
-        """Adopt a settings tree (endpoints, limits)."""
+        """Apply a settings tree (endpoints, limits)."""
         service = tree.services.get(self._service)
         if service is not None:
             self._fleet.kind = service.kind
@@ -89,38 +89,38 @@
         return self._dispatch(now_ms)
 
     def mark_leaving(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
-        """Grant nothing more to an endpoint."""
+        """Stop granting requests to an endpoint."""
         worker = self._fleet.find(endpoint_id)
         if worker is not None:
             worker.leaving = True
         return self._dispatch(now_ms)
 
     def mark_returned(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
-        """Take back a mark; an endpoint declared as leaving stays out."""
+        """Undo :meth:`mark_leaving`, unless the endpoint is declared as leaving."""
         worker = self._fleet.find(endpoint_id)
         if worker is not None:
             worker.leaving = worker.endpoint.leaving
         return self._dispatch(now_ms)
 
     def limit_slots(self, share: float, now_ms: float) -> Sequence[Decision]:
-        """Use only a share of slots, as one scheduler of several."""
+        """Use only a share of the slots, for when several schedulers are active."""
         self._fleet.limit_slots(share)
         return self._dispatch(now_ms)
 
     def limit_rates(self, share: float, now_ms: float) -> None:
-        """Let only a share of organisations' rates pass."""
+        """Admit only a share of the organisations' rate limits."""
         self.limits.scale(share, now_ms)
 
     def hear_limit(
         self, endpoint_id: str, limit_per_s: float, heard_ms: float, now_ms: float
     ) -> None:
-        """Learn the rate that an endpoint has named to a gateway."""
+        """Apply a rate limit that an endpoint announced in an answer to a gateway."""
         worker = self._fleet.find(endpoint_id)
-        if worker is not None and heard_ms > worker.unlimited_ms:
-            worker.rate = rate_told(worker.rate, limit_per_s, heard_ms, now_ms)
+        if worker is not None and heard_ms > worker.last_unlimited_grant_ms:
+            worker.rate = rate_after_report(worker.rate, limit_per_s, heard_ms, now_ms)
 
     def limited_endpoints(self) -> frozenset[str]:
-        """Return the endpoints that get no more than the rate that they ask for."""
+        """Return the ids of the endpoints that have announced a rate limit."""
         return frozenset(
             worker.endpoint.endpoint_id
             for worker in self._fleet
@@ -135,13 +135,14 @@
         if request_id in self._waiting or request_id in self._flights:
             return []
         if handle.admitted and self._withdrawn.pop(request_id, None) is not None:
-            # Its gateway was lost and came back; the charge was given back here.
+            # The charge was refunded when the request was withdrawn because its
+            # gateway was lost: charge it again.
             handle = msgspec.structs.replace(handle, admitted=False)
         refusal = self.limits.admit(handle, handle.charge_tokens, now_ms)
         if refusal is not None:
             return [Decision(request_id, refusal)]
         waiting = waiting_from_handle(handle, now_ms)
-        worker = self._worker_on_trial(waiting, now_ms)
+        worker = self._trial_worker(waiting, now_ms)
         if worker is not None:
             return [self._grant(waiting, worker, now_ms)]
         refusal = self._refuse_arrival(waiting, now_ms)
@@ -170,93 +171,97 @@
             self._give_back(waiting)
             self._withdrawn[request_id] = now_ms
         else:
-            self._end(request_id)
+            self._release(request_id)
         return self._dispatch(now_ms)
 
     def observe(self, event: StreamEvent, now_ms: float) -> Sequence[Decision]:
-        """Learn from a stream; frees the slot when finished."""
+        """Update estimates from a stream event; free the slot when it has finished."""
         worker = self._fleet.find(event.endpoint_id)
         flight = worker.flights.get(event.request_id) if worker else None
         if worker is None or flight is None:
             return []
-        worker.heard(now_ms)
+        worker.record_activity(now_ms)
         if event.limit_per_s is not None:
-            worker.rate = rate_answered(
+            worker.rate = rate_after_answer(
                 worker.rate, event.limit_per_s, flight.granted_ms, now_ms
             )
             if math.isinf(event.limit_per_s):
-                worker.unlimited_ms = max(worker.unlimited_ms, flight.granted_ms)
+                worker.last_unlimited_grant_ms = max(
+                    worker.last_unlimited_grant_ms, flight.granted_ms
+                )
         if event.tokens > 0 and event.elapsed_ms > 0:
-            worker.saw_pieces(flight, event.tokens, event.elapsed_ms)
+            worker.learn_event_interval(flight, event.tokens, event.elapsed_ms)
         begins = event.ttft_ms >= 0 and not flight.started
         if begins:
-            worker.saw_first(flight, event.ttft_ms, now_ms)
-            worker.succeeded()
+            worker.learn_ttft(flight, event.ttft_ms, now_ms)
+            worker.record_success()
         if not event.finished:
-            # A prompt that has been read makes room for the next one.
+            # A prompt that has been read lets the engine take the next one.
             return self._dispatch(now_ms) if begins else []
-        self._end(event.request_id)
+        self._release(event.request_id)
         if self.trial is not None and not event.refused:
-            self._tell_trial(flight, event, now_ms)
+            self._report_to_trial(flight, event, now_ms)
         if event.refused:
-            worker.refused(now_ms)
+            worker.record_refusal(now_ms)
             self.limits.give_back(
                 flight.handle, flight.handle.charge_tokens, flight.charged_ms
             )
         elif event.outcome:
-            worker.failed(now_ms)
+            worker.record_failure(now_ms)
         else:
             service_ms = now_ms - flight.granted_ms
-            self._service_ms += _SERVICE_STEP * (service_ms - self._service_ms)
-            if flight.pieces:
-                self._fleet.event_size.learn(flight.handle.decode_tokens, flight.pieces)
+            self._mean_service_ms += _SERVICE_TIME_SMOOTHING * (
+                service_ms - self._mean_service_ms
+            )
+            if flight.events:
+                self._fleet.event_size.learn(flight.handle.decode_tokens, flight.events)
         return self._dispatch(now_ms)
 
     def report_load(self, report: LoadReport, now_ms: float) -> Sequence[Decision]:
-        """Ignore the report: every request to the endpoints is known here."""
+        """Ignore the report: the core itself tracks all requests to the endpoints."""
         del report, now_ms
         return []
 
     def report_cache(self, event: CacheEvent, now_ms: float) -> None:
-        """Ignore the event."""
+        """Ignore the event: the policy does not use prefix caches."""
 
     def tick(self, now_ms: float) -> Sequence[Decision]:
-        """Suspect silent endpoints, move late requests, expire deadlines."""
+        """Suspend silent endpoints, demote late requests and expire deadlines."""
         for worker in self._fleet:
-            worker.check(now_ms)
+            worker.suspend_if_silent(now_ms)
         self._forget_withdrawn(now_ms)
-        decisions = self._refuse_early(now_ms)
-        decisions.extend(self._age(now_ms))
+        decisions = self._refuse_unreachable(now_ms)
+        decisions.extend(self._expire(now_ms))
         decisions.extend(self._dispatch(now_ms))
         return decisions
 
     def status(self) -> dict[str, WorkerFigures]:
-        """Return the figures of the endpoints, for operators."""
+        """Return statistics for each endpoint, for operators."""
         return {
             worker.endpoint.endpoint_id: worker.figures(self._now_ms)
             for worker in self._fleet
         }
 
-    # --- inside -----------------------------------------------------------
+    # --- internals -----------------------------------------------------------
 
-    def _give_back(self, waiting: Waiting) -> None:
+    def _give_back(self, waiting: WaitingRequest) -> None:
         handle = waiting.handle
         self.limits.give_back(handle, handle.charge_tokens, waiting.submitted_ms)
 
     def _forget_withdrawn(self, now_ms: float) -> None:
-        oldest_ms = now_ms - _WITHDRAWN_MS
+        oldest_ms = now_ms - _WITHDRAWN_RETENTION_MS
         while self._withdrawn:
             request_id, at_ms = next(iter(self._withdrawn.items()))
             if at_ms >= oldest_ms:
                 return
             del self._withdrawn[request_id]
 
-    def _end(self, request_id: str) -> None:
+    def _release(self, request_id: str) -> None:
         endpoint_id = self._flights.pop(request_id, "")
         self._fleet.end(endpoint_id, request_id)
 
-    def _worker_on_trial(self, waiting: Waiting, now_ms: float) -> Worker | None:
-        """Return the endpoint of a version on trial that should get a request."""
+    def _trial_worker(self, waiting: WaitingRequest, now_ms: float) -> Worker | None:
+        """Return the endpoint of the version on trial to send a request to, if any."""
         if self.trial is None:
             return None
         self.trial.count_arrival(waiting.handle)
@@ -265,7 +270,9 @@
         candidates = self.trial.endpoints_to_try()
         return self._fleet.place_on_trial(waiting, candidates, now_ms)
 
-    def _tell_trial(self, flight: Flight, event: StreamEvent, now_ms: float) -> None:
+    def _report_to_trial(
+        self, flight: Flight, event: StreamEvent, now_ms: float
+    ) -> None:
         self.trial.record_answer(
             event.endpoint_id,
             flight.handle.work,
@@ -275,48 +282,57 @@
             has_begun=flight.started,
         )
 
-    def _refuse_arrival(self, waiting: Waiting, now_ms: float) -> Refusal | None:
-        """Refuse on arrival what could only be answered late."""
+    def _refuse_arrival(self, waiting: WaitingRequest, now_ms: float) -> Refusal | None:
+        """Return a refusal for a new request that could only be answered late."""
         handle = waiting.handle
         if not self._fleet.has_any(handle.excluded):
             return self._refusal(Reason.NO_ENDPOINT, self._options.min_retry_ms * 5)
         if not self._admission.may_refuse(waiting, now_ms):
             return None
-        if self._fleet.open(now_ms):
+        if self._fleet.available(now_ms):
             return None
-        outlook = self._admission.recent_outlook(self._waiting, now_ms)
-        start_ms = outlook.start_ms(waiting.key, now_ms)
-        refusal = self._judge(waiting, start_ms, outlook, now_ms)
+        wait_forecast = self._admission.recent_forecast(self._waiting, now_ms)
+        start_ms = wait_forecast.start_ms(waiting.key, now_ms)
+        refusal = self._refuse_if_late(waiting, start_ms, wait_forecast, now_ms)
         if refusal is None:
-            outlook.add(waiting.key, handle)
+            wait_forecast.add(waiting.key, handle)
         return refusal
 
-    def _judge(
-        self, waiting: Waiting, start_ms: float, outlook: Outlook, now_ms: float
+    def _refuse_if_late(
+        self,
+        waiting: WaitingRequest,
+        start_ms: float,
+        wait_forecast: WaitForecast,
+        now_ms: float,
     ) -> Refusal | None:
-        """Refuse a request whose predicted start is too late for its objective."""
-        late_ms = self._admission.late_ms(waiting, start_ms, outlook, now_ms)
+        """Return a refusal if the predicted start is too late for the objective."""
+        late_ms = self._admission.lateness_ms(waiting, start_ms, wait_forecast, now_ms)
         if late_ms <= 0:
             return None
         return self._refusal(Reason.DEADLINE_UNREACHABLE, late_ms)
 
-    def _refuse_early(self, now_ms: float) -> list[Decision]:
-        """Refuse soon what turns out to wait too long; it may go elsewhere."""
+    def _refuse_unreachable(self, now_ms: float) -> list[Decision]:
+        """Refuse waiting requests that can no longer be on time.
+
+        They are refused early enough for their callers to try elsewhere.
+        """
         if not self._waiting or not self._fleet.has_any(()):
             return []
-        outlook = self._admission.new_outlook(now_ms)
+        wait_forecast = self._admission.new_forecast(now_ms)
         decisions = []
-        for waiting in self._waiting.in_order():
+        for waiting in self._waiting.on_time_in_order():
             refusal = None
             if self._admission.may_refuse(waiting, now_ms):
-                refusal = self._judge(waiting, outlook.next_ms(), outlook, now_ms)
+                refusal = self._refuse_if_late(
+                    waiting, wait_forecast.next_ms(), wait_forecast, now_ms
+                )
             if refusal is None:
-                outlook.append(waiting.key, waiting.handle)
+                wait_forecast.append(waiting.key, waiting.handle)
                 continue
-            decisions.append(self._give_up(waiting, refusal))
+            decisions.append(self._refuse_waiting(waiting, refusal))
         return decisions
 
-    def _give_up(self, waiting: Waiting, refusal: Refusal) -> Decision:
+    def _refuse_waiting(self, waiting: WaitingRequest, refusal: Refusal) -> Decision:
         self._waiting.remove(waiting.handle.request_id)
         self._give_back(waiting)
         return Decision(waiting.handle.request_id, refusal)
@@ -326,77 +342,79 @@
         bounded = min(options.max_retry_ms, max(options.min_retry_ms, int(retry_ms)))
         return Refusal(Outcome.NOT_RUN, reason, bounded)
 
-    def _age(self, now_ms: float) -> list[Decision]:
-        """Move what is late behind the rest, and give up what waits in vain.
+    def _expire(self, now_ms: float) -> list[Decision]:
+        """Demote requests past their objective and refuse those that expire.
 
-        A request without an objective, or one whose caller stays for little longer,
-        is given up while the caller can still be told.
+        A request without an objective, or one whose caller is about to disconnect, is
+        refused while the caller still waits for the response.
         """
         decisions = []
         for waiting in self._waiting:
-            soonest_ms = self._fleet.soonest_ms(waiting.handle, now_ms)
-            answerable_ms = waiting.deadline_ms - soonest_ms
-            if now_ms >= min(answerable_ms, waiting.given_up_at(self._options)):
-                refusal = self._refusal(Reason.DEADLINE_PASSED, self._service_ms)
-                decisions.append(self._give_up(waiting, refusal))
+            min_ttft_ms = self._fleet.min_ttft_ms(waiting.handle, now_ms)
+            answerable_ms = waiting.deadline_ms - min_ttft_ms
+            if now_ms >= min(answerable_ms, waiting.give_up_at_ms(self._options)):
+                refusal = self._refusal(Reason.DEADLINE_PASSED, self._mean_service_ms)
+                decisions.append(self._refuse_waiting(waiting, refusal))
             elif not waiting.late and now_ms >= waiting.objective_at_ms:
-                self._waiting.make_late(waiting)
+                self._waiting.move_to_late(waiting)
         return decisions
 
     def _dispatch(self, now_ms: float) -> list[Decision]:
-        """Grant what can go now: first what can be on time, then what is late."""
+        """Grant slots, first to requests that can be on time, then to late ones."""
         self._now_ms = now_ms
         if not self._waiting:
             return []
-        workers = self._fleet.open(now_ms)
+        workers = self._fleet.available(now_ms)
         if not workers:
             return []
         for worker in workers:
-            worker.measure_room(now_ms)
-        decisions = self._drain(self._waiting.on_time, workers, now_ms)
-        if self._waiting.late.has_any() and self._has_room_for_late(now_ms):
-            decisions.extend(self._drain(self._waiting.late, workers, now_ms))
+            worker.update_max_prompt(now_ms)
+        decisions = self._grant_from(self._waiting.on_time, workers, now_ms)
+        if self._waiting.late.has_any() and self._may_grant_late(now_ms):
+            decisions.extend(self._grant_from(self._waiting.late, workers, now_ms))
         return decisions
 
-    def _has_room_for_late(self, now_ms: float) -> bool:
+    def _may_grant_late(self, now_ms: float) -> bool:
         if not self._waiting.on_time.has_any():
             return True
-        return self._fleet.has_room_beside(self._options.late_free_share, now_ms)
+        return self._fleet.has_free_share(self._options.late_free_share, now_ms)
 
-    def _drain(
-        self, line: WaitingLine, workers: list[Worker], now_ms: float
+    def _grant_from(
+        self, line: RequestQueue, workers: list[Worker], now_ms: float
     ) -> list[Decision]:
-        """Grant what finds a place; workers that are full then leave the list."""
+        """Grant queued requests, removing workers from the list once they are full."""
         decisions: list[Decision] = []
-        aside = []
-        most_tokens = most_room(workers)
-        while workers and len(aside) < _TRIES:
+        unplaced = []
+        most_tokens = longest_accepted_prompt(workers)
+        while workers and len(unplaced) < _MAX_UNPLACED_REQUESTS:
             waiting = line.pop()
             if waiting is None:
                 break
             worker = None
             if waiting.handle.prefill_tokens <= most_tokens:
                 worker = self._fleet.place(waiting, workers, now_ms)
-            if worker is None and self._fleet.is_hopeless(waiting, now_ms):
-                self._waiting.make_late(waiting)
+            if worker is None and self._fleet.is_unreachable(waiting, now_ms):
+                self._waiting.move_to_late(waiting)
                 continue
             if worker is None:
-                aside.append(waiting)
+                unplaced.append(waiting)
                 continue
             decisions.append(self._grant(waiting, worker, now_ms))
-            worker.measure_room(now_ms)
-            if not self._fleet.is_still_open(worker, now_ms):
+            worker.update_max_prompt(now_ms)
+            if not self._fleet.is_still_available(worker, now_ms):
                 workers.remove(worker)
-            most_tokens = most_room(workers)
-        for waiting in aside:
+            most_tokens = longest_accepted_prompt(workers)
+        for waiting in unplaced:
             line.push(waiting)
         return decisions
 
-    def _grant(self, waiting: Waiting, worker: Worker, now_ms: float) -> Decision:
+    def _grant(
+        self, waiting: WaitingRequest, worker: Worker, now_ms: float
+    ) -> Decision:
         handle = waiting.handle
         self._waiting.remove(handle.request_id)
         slot_ms = worker.duration_ms(handle)
-        self._admission.granted(handle.tier_rank, slot_ms, now_ms)
+        self._admission.record_grant(handle.tier_rank, slot_ms, now_ms)
         flight = self._fleet.begin(worker, handle, now_ms)
         flight.charged_ms = now_ms
         if worker.rate is not None:
@@ -406,12 +424,12 @@
         if self.trial is not None:
             self.trial.count_grant(worker.endpoint.endpoint_id, handle.work)
         grant = Grant(
-            handle.request_id, worker.endpoint.endpoint_id, flight.expected_ms
+            handle.request_id, worker.endpoint.endpoint_id, flight.expected_ttft_ms
         )
         return Decision(handle.request_id, grant)
 
 
 @register(PLACEMENT_POLICIES, "objective")
 def make_objective_core(service_name: str) -> SchedulingCore:
-    """Make the core of the objective policy."""
+    """Create the scheduling core of the objective policy for a service."""
     return ObjectiveCore(service_name, ObjectiveOptions())
--- a/src/pomelolane/scheduler/objective/fleet.py
+++ b/src/pomelolane/scheduler/objective/fleet.py
@@ -1,4 +1,4 @@
-"""The endpoints of one service: who can take a request now, and who suits it."""
+"""The endpoints of one service: which are available, and which fits a request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from pomelolane.model import ServiceKind
 from pomelolane.ports import LIMIT_KEPT_MS
-from pomelolane.scheduler.objective.lengths import EventSize, Spread
+from pomelolane.scheduler.objective.lengths import EventSize, PredictionError
 from pomelolane.scheduler.objective.worker import Worker
 
 if TYPE_CHECKING:
@@ -17,26 +17,26 @@
     from pomelolane.model import Endpoint
     from pomelolane.scheduler.objective.flight import Flight
     from pomelolane.scheduler.objective.options import ObjectiveOptions
-    from pomelolane.scheduler.objective.rate import NamedRate
-    from pomelolane.scheduler.objective.waiting import Waiting
+    from pomelolane.scheduler.objective.rate import EndpointRateLimit
+    from pomelolane.scheduler.objective.waiting import WaitingRequest
 
-_ANY_TIME_MS = float("inf")
+_NO_LIMIT_MS = float("inf")
 
-_FASTEST_MS = 50.0
-"""How long the fastest endpoint is remembered: the period of ticks. Looking at all of
-them for each request that finds no place took more time than all other decisions."""
+_FASTEST_CACHE_MS = 50.0
+"""How long the fastest endpoint is cached: the tick period. Searching all endpoints for
+each request that cannot be placed took more time than all other decisions."""
 
 
 class Fleet:
-    """Keeps the endpoints, with an index of those that have a free slot.
+    """Tracks the endpoints and indexes those that have a free slot.
 
     Args:
-        options: Constants.
+        options: Tuning constants of the policy.
 
     Attributes:
         kind: Kind of the service.
-        share: Part of the slots that may be used.
-        event_size: Expected tokens in one event of an answer.
+        share: Share of the slots that may be used.
+        event_size: Estimate of the tokens per answer event.
     """
 
     def __init__(self, options: ObjectiveOptions) -> None:
@@ -44,11 +44,11 @@
         self.share = 1.0
         self.event_size = EventSize(options.tokens_per_event)
         self._options = options
-        self._spread = Spread()
+        self._prediction_error = PredictionError()
         self._workers: dict[str, Worker] = {}
-        self._with_room: dict[str, Worker] = {}
-        self._kept_rates: dict[tuple[str, int], NamedRate] = {}
-        self._in_need = False
+        self._with_free_slots: dict[str, Worker] = {}
+        self._retained_rates: dict[tuple[str, int], EndpointRateLimit] = {}
+        self._all_suspended = False
         self._fastest: Worker | None = None
         self._fastest_at_ms = 0.0
 
@@ -56,28 +56,28 @@
         return iter(self._workers.values())
 
     def find(self, endpoint_id: str) -> Worker | None:
-        """Return an endpoint, None where it is not declared."""
+        """Return an endpoint by id, None if it is not declared."""
         return self._workers.get(endpoint_id)
 
     # --- settings -----------------------------------------------------------
 
     def configure(self, endpoints: Mapping[str, Endpoint], now_ms: float) -> list[str]:
-        """Adopt the declared endpoints; return the requests of those that are gone.
+        """Apply the declared endpoints; return request ids that ran on removed ones.
 
-        One that was started again is gone as well, with all that is known of it.
+        A restarted endpoint counts as removed and added anew, with fresh statistics.
         """
         lost: list[str] = []
         for name, worker in list(self._workers.items()):
             endpoint = endpoints.get(name)
             if endpoint is None or endpoint.born_ms != worker.endpoint.born_ms:
                 lost.extend(self._workers.pop(name).flights)
-                self._with_room.pop(name, None)
-                self._keep_rate(worker)
+                self._with_free_slots.pop(name, None)
+                self._retain_rate(worker)
         for name, endpoint in endpoints.items():
             worker = self._workers.get(name)
             if worker is None:
                 worker = self._make_worker(endpoint)
-                worker.rate = self._take_kept_rate(endpoint, now_ms)
+                worker.rate = self._restore_rate(endpoint, now_ms)
                 self._workers[name] = worker
             worker.endpoint = endpoint
             worker.leaving = endpoint.leaving
@@ -91,33 +91,37 @@
         for worker in self._workers.values():
             self._index(worker)
 
-    def _keep_rate(self, worker: Worker) -> None:
-        """Keep the rate of an endpoint that the registry may only have lost."""
+    def _retain_rate(self, worker: Worker) -> None:
+        """Retain a rate limit in case the registry has lost the endpoint briefly."""
         if worker.rate is not None:
             start = worker.endpoint.endpoint_id, worker.endpoint.born_ms
-            self._kept_rates[start] = worker.rate
+            self._retained_rates[start] = worker.rate
 
-    def _take_kept_rate(self, endpoint: Endpoint, now_ms: float) -> NamedRate | None:
-        self._kept_rates = {
+    def _restore_rate(
+        self, endpoint: Endpoint, now_ms: float
+    ) -> EndpointRateLimit | None:
+        self._retained_rates = {
             start: rate
-            for start, rate in self._kept_rates.items()
-            if now_ms - rate.named_ms < LIMIT_KEPT_MS
+            for start, rate in self._retained_rates.items()
+            if now_ms - rate.last_set_ms < LIMIT_KEPT_MS
         }
-        return self._kept_rates.pop((endpoint.endpoint_id, endpoint.born_ms), None)
+        return self._retained_rates.pop((endpoint.endpoint_id, endpoint.born_ms), None)
 
     def _make_worker(self, endpoint: Endpoint) -> Worker:
-        return Worker(endpoint, self.kind, self._options, self.event_size, self._spread)
+        return Worker(
+            endpoint, self.kind, self._options, self.event_size, self._prediction_error
+        )
 
     # --- slots --------------------------------------------------------------
 
     def begin(self, worker: Worker, handle: Handle, now_ms: float) -> Flight:
-        """Count a granted request."""
+        """Register a granted request."""
         flight = worker.begin(handle, now_ms)
         self._index(worker)
         return flight
 
     def end(self, endpoint_id: str, request_id: str) -> None:
-        """Uncount a granted request."""
+        """Release the slot of a granted request."""
         worker = self._workers.get(endpoint_id)
         if worker is not None:
             worker.end(request_id)
@@ -126,155 +130,169 @@
     def _index(self, worker: Worker) -> None:
         name = worker.endpoint.endpoint_id
         if len(worker.flights) < worker.usable_slots(self.share):
-            self._with_room[name] = worker
+            self._with_free_slots[name] = worker
         else:
-            self._with_room.pop(name, None)
-
-    def open(self, now_ms: float) -> list[Worker]:
-        """Return the endpoints that may get one more request now."""
-        with_room = self._with_room.values()
-        found = [w for w in with_room if w.is_open(now_ms)]
-        self._in_need = False
-        if not found and with_room:
+            self._with_free_slots.pop(name, None)
+
+    def available(self, now_ms: float) -> list[Worker]:
+        """Return the endpoints that may get another request now.
+
+        If all endpoints are suspended or probing, those with a free slot are used all
+        the same.
+        """
+        with_free_slots = self._with_free_slots.values()
+        found = [w for w in with_free_slots if w.is_available(now_ms)]
+        self._all_suspended = False
+        if not found and with_free_slots:
             staying = (w for w in self._workers.values() if not w.leaving)
-            self._in_need = all(worker.is_doubted(now_ms) for worker in staying)
-        if self._in_need:
-            found = [w for w in with_room if not w.leaving and w.is_within_rate(now_ms)]
+            self._all_suspended = all(
+                worker.is_suspended_or_probing(now_ms) for worker in staying
+            )
+        if self._all_suspended:
+            found = [
+                w for w in with_free_slots if not w.leaving and w.is_within_rate(now_ms)
+            ]
         return found
 
-    def is_still_open(self, worker: Worker, now_ms: float) -> bool:
-        """Tell whether one of the open endpoints may get another request."""
-        if worker.endpoint.endpoint_id not in self._with_room:
+    def is_still_available(self, worker: Worker, now_ms: float) -> bool:
+        """Return whether an endpoint from :meth:`available` may get another request."""
+        if worker.endpoint.endpoint_id not in self._with_free_slots:
             return False
-        if self._in_need:
+        if self._all_suspended:
             return worker.is_within_rate(now_ms)
-        return worker.is_open(now_ms)
+        return worker.is_available(now_ms)
 
     def has_any(self, excluded: tuple[str, ...]) -> bool:
-        """Tell whether any endpoint stays that a request may go to."""
+        """Return whether any endpoint is neither leaving nor excluded."""
         return any(
             not worker.leaving and name not in excluded
             for name, worker in self._workers.items()
         )
 
-    def has_room_beside(self, share: float, now_ms: float) -> bool:
-        """Tell whether more than a share of all slots is free."""
+    def has_free_share(self, share: float, now_ms: float) -> bool:
+        """Return whether more than a share of all slots is free."""
         total = sum(worker.endpoint.slots for worker in self._workers.values())
         free = sum(
             worker.endpoint.slots - len(worker.flights)
-            for worker in self._with_room.values()
-            if worker.is_open(now_ms)
+            for worker in self._with_free_slots.values()
+            if worker.is_available(now_ms)
         )
         return free > share * total
 
     # --- placement ----------------------------------------------------------
 
     def place(
-        self, waiting: Waiting, workers: list[Worker], now_ms: float
+        self, waiting: WaitingRequest, workers: list[Worker], now_ms: float
     ) -> Worker | None:
-        """Return the endpoint where the first answer byte comes soonest.
+        """Return the endpoint with the shortest predicted time to first byte.
 
         Args:
             waiting: The request.
-            workers: The open endpoints.
-            now_ms: The time.
+            workers: The available endpoints.
+            now_ms: Current time.
 
         Returns:
-            None where the request should wait.
+            None if the request should wait.
         """
         handle = waiting.handle
         excluded = handle.excluded
-        left_ms = self._bearable_ms(waiting, now_ms)
+        left_ms = self._max_duration_ms(waiting, now_ms)
         best = None
-        best_score_ms = _ANY_TIME_MS
+        best_score_ms = _NO_LIMIT_MS
         for worker in workers:
             if excluded and worker.endpoint.endpoint_id in excluded:
                 continue
-            score_ms = worker.bid_ms(handle, left_ms)
+            score_ms = worker.score_ms(handle, left_ms)
             if score_ms < best_score_ms:
                 best, best_score_ms = worker, score_ms
         if best is None or waiting.late or not handle.objective_ms:
             return best
         if len(workers) == len(self._workers):
-            # There is nothing to wait for.
+            # All endpoints are available: waiting cannot help.
             return best
-        at_ms = now_ms + best.predict_ms(handle) + self.margin_ms()
+        at_ms = now_ms + best.predict_ttft_ms(handle) + self.margin_ms()
         return best if at_ms <= waiting.objective_at_ms else None
 
     def place_on_trial(
-        self, waiting: Waiting, candidates: Iterable[str], now_ms: float
+        self, waiting: WaitingRequest, candidates: Iterable[str], now_ms: float
     ) -> Worker | None:
-        """Return the first of some endpoints that would answer on time.
+        """Return the first endpoint on trial that would answer on time.
 
-        They get nothing else, so the first one is used fully before the next.
+        Endpoints on trial get no other requests, so the first one is filled before the
+        next is used.
 
         Args:
             waiting: The request.
-            candidates: Ids of endpoints.
-            now_ms: The time.
+            candidates: Endpoint ids, in order of preference.
+            now_ms: Current time.
 
         Returns:
-            None where the request should go elsewhere.
+            None if the request should not go to an endpoint on trial.
         """
         handle = waiting.handle
         left_ms = waiting.deadline_ms - now_ms
         due_ms = waiting.objective_at_ms if handle.objective_ms else math.inf
         for name in candidates:
-            worker = self._with_room.get(name)
-            if worker is None or not worker.is_able(now_ms):
+            worker = self._with_free_slots.get(name)
+            if worker is None or not worker.is_available_for_trial(now_ms):
                 continue
-            worker.measure_room(now_ms)
-            first_ms = worker.predict_ms(handle)
-            is_in_time = now_ms + first_ms + self.margin_ms() <= due_ms
-            if is_in_time and worker.bid_ms(handle, left_ms) < _ANY_TIME_MS:
+            worker.update_max_prompt(now_ms)
+            ttft_ms = worker.predict_ttft_ms(handle)
+            is_in_time = now_ms + ttft_ms + self.margin_ms() <= due_ms
+            if is_in_time and worker.score_ms(handle, left_ms) < _NO_LIMIT_MS:
                 return worker
         return None
 
-    def is_hopeless(self, waiting: Waiting, now_ms: float) -> bool:
-        """Tell whether no endpoint could answer on time, were it idle.
+    def is_unreachable(self, waiting: WaitingRequest, now_ms: float) -> bool:
+        """Return whether even an idle endpoint would miss the objective.
 
-        Such a request is due before all others. Sent in its turn, it makes those
-        behind it too late as well.
+        Such a request is at the head of the queue because it is due first. Granting it
+        in that order would make the requests behind it late as well.
         """
         if waiting.late or not waiting.handle.objective_ms:
             return False
-        soonest_ms = now_ms + self.soonest_ms(waiting.handle, now_ms)
-        return soonest_ms > waiting.objective_at_ms
+        earliest_ms = now_ms + self.min_ttft_ms(waiting.handle, now_ms)
+        return earliest_ms > waiting.objective_at_ms
 
-    def soonest_ms(self, handle: Handle, now_ms: float) -> float:
-        """Return the time to a first answer byte at the fastest endpoint, if idle."""
-        if now_ms - self._fastest_at_ms >= _FASTEST_MS or self._fastest is None:
+    def min_ttft_ms(self, handle: Handle, now_ms: float) -> float:
+        """Return the time to first byte at the fastest endpoint when idle."""
+        if now_ms - self._fastest_at_ms >= _FASTEST_CACHE_MS or self._fastest is None:
             self._fastest = self._find_fastest(now_ms)
             self._fastest_at_ms = now_ms
-        alone_ms = self._fastest.alone_ms(handle) if self._fastest else 0.0
-        return alone_ms + self.margin_ms()
+        idle_ttft_ms = self._fastest.idle_ttft_ms(handle) if self._fastest else 0.0
+        return idle_ttft_ms + self.margin_ms()
 
     def margin_ms(self) -> float:
-        """Return by how much sooner than due an answer has to be predicted."""
+        """Return how long before it is due an answer must be predicted to begin."""
         options = self._options
-        return options.margin_ms + options.spread_factor * self._spread.mean_ms
+        return (
+            options.margin_ms + options.spread_factor * self._prediction_error.mean_ms
+        )
 
     def _find_fastest(self, now_ms: float) -> Worker | None:
         staying = [w for w in self._workers.values() if not w.leaving]
-        usable = [w for w in staying if not w.is_doubted(now_ms)] or staying
+        usable = [
+            w for w in staying if not w.is_suspended_or_probing(now_ms)
+        ] or staying
         return min(usable, key=_slowdown, default=None)
 
-    def _bearable_ms(self, waiting: Waiting, now_ms: float) -> float:
-        """Return how long an answer may take where one longer than expected must end.
+    def _max_duration_ms(self, waiting: WaitingRequest, now_ms: float) -> float:
+        """Return how long the expected answer may take.
 
-        Where none of the endpoints is so fast, it does not matter which.
+        An answer up to ``length_factor`` times as long must still end before the
+        deadline. There is no limit if no endpoint is that fast.
         """
         handle = waiting.handle
         left_ms = (waiting.deadline_ms - now_ms) / self._options.length_factor
         for worker in self._workers.values():
             if worker.duration_ms(handle) <= left_ms:
                 return left_ms
-        return _ANY_TIME_MS
+        return _NO_LIMIT_MS
 
 
-def most_room(workers: Iterable[Worker]) -> float:
-    """Return the longest prompt that some of the endpoints may get."""
-    return max((worker.room_tokens for worker in workers), default=0.0)
+def longest_accepted_prompt(workers: Iterable[Worker]) -> float:
+    """Return the longest prompt in tokens that any of the endpoints accepts."""
+    return max((worker.max_prompt_tokens for worker in workers), default=0.0)
 
 
 def _slowdown(worker: Worker) -> float:
--- a/src/pomelolane/scheduler/objective/flight.py
+++ b/src/pomelolane/scheduler/objective/flight.py
@@ -1,4 +1,4 @@
-"""A request that runs at an endpoint, as its scheduler knows it."""
+"""State of a request in flight at an endpoint, kept by the scheduling core."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
 
 @dataclass(slots=True)
 class Flight:
-    """A request that was granted an endpoint.
+    """A granted request that has not finished.
 
     Attributes:
         handle: The request.
-        granted_ms: When.
-        nominal_ms: Time to the first answer byte at speed 1.
-        expected_ms: The same at the endpoint's learnt speed.
-        started: Whether the first answer byte was seen.
-        pieces: Pieces of the answer that were seen.
+        granted_ms: When it was granted.
+        reference_ttft_ms: Predicted time to first byte at speed 1.
+        expected_ttft_ms: Predicted time to first byte at the endpoint's learnt speed.
+        started: Whether the first answer byte has arrived.
+        events: Number of answer events received.
         charged_ms: When it was charged to its organisation's limit.
-        first_ms: Time to the first answer byte, negative until it was seen.
+        ttft_ms: Measured time to first byte, negative until it is known.
     """
 
     handle: Handle
     granted_ms: float
-    nominal_ms: float
-    expected_ms: float
+    reference_ttft_ms: float
+    expected_ttft_ms: float
     started: bool = False
-    pieces: int = 0
+    events: int = 0
     charged_ms: float = 0.0
-    first_ms: float = -1.0
+    ttft_ms: float = -1.0
 
     def slowness(self, now_ms: float) -> float:
-        """Return the time to the first answer byte against one at speed 1.
+        """Return the time to first byte divided by that predicted at speed 1.
 
-        What was begun under an earlier scheduler says nothing; what never began took as
-        long as it was waited for, at least.
+        Returns -1 where the answer began under an earlier scheduler, so that its time
+        to first byte is unknown. For an answer that never began, the time since the
+        grant is a lower bound.
         """
-        if self.first_ms < 0 and self.started:
+        if self.ttft_ms < 0 and self.started:
             return -1.0
-        first_ms = self.first_ms if self.first_ms >= 0 else now_ms - self.granted_ms
-        return first_ms / self.nominal_ms
+        ttft_ms = self.ttft_ms if self.ttft_ms >= 0 else now_ms - self.granted_ms
+        return ttft_ms / self.reference_ttft_ms
--- a/src/pomelolane/scheduler/objective/forecast.py
+++ b/src/pomelolane/scheduler/objective/forecast.py
@@ -1,7 +1,7 @@
 """Predicts when waiting requests will get a slot, from the slots in use.
 
-A prediction for all that waits is made now and then; what comes in between is put
-into it, so that an arrival costs the same however many wait.
+The forecast for the whole queue is rebuilt periodically. Requests that arrive in
+between are added to it, so that their cost does not depend on the queue length.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
     from collections.abc import Iterable, Sequence
 
     from pomelolane.messages import Handle
-    from pomelolane.scheduler.objective.rate import NamedRate
-    from pomelolane.scheduler.objective.waiting import Key
-    from pomelolane.scheduler.objective.worker import Pace, Worker
+    from pomelolane.scheduler.objective.rate import EndpointRateLimit
+    from pomelolane.scheduler.objective.waiting import QueueKey
+    from pomelolane.scheduler.objective.worker import LatencyModel, Worker
 
-_HELD_S = 1.0
-"""About how long a request holds a slot."""
+_SLOT_HOLD_S = 1.0
+"""Typical time for which a request holds a slot."""
 
 
-class Forecast:
-    """The times from now at which slots come free, each used in turn.
+class SlotForecast:
+    """Predicted times from now until each slot becomes free, as a heap.
 
     Args:
-        free_in_ms: For each slot, the time until it is free; 0 for a free one.
+        free_in_ms: Time until each slot is free; 0 for a free slot.
     """
 
     def __init__(self, free_in_ms: Iterable[float]) -> None:
@@ -38,20 +38,20 @@
         return len(self._free_in_ms)
 
     def next_ms(self) -> float:
-        """Return when the next slot comes free."""
+        """Return the time until the next slot is free, 0 without slots."""
         return self._free_in_ms[0] if self._free_in_ms else 0.0
 
-    def use(self, duration_ms: float) -> None:
-        """Use the next free slot for a while."""
+    def occupy(self, duration_ms: float) -> None:
+        """Occupy the next free slot for a time."""
         if self._free_in_ms:
             start_ms = self._free_in_ms[0]
             heapq.heapreplace(self._free_in_ms, start_ms + duration_ms)
 
 
-def forecast_of_workers(
+def forecast_slots(
     workers: Iterable[Worker], share: float, now_ms: float
-) -> Forecast:
-    """Return the forecast of endpoints that may get work."""
+) -> SlotForecast:
+    """Return the slot forecast of the endpoints that are not leaving."""
     free: list[float] = []
     for worker in workers:
         if worker.leaving:
@@ -64,98 +64,113 @@
         starts_ms = [max(pause_ms, one) for one in busy[-slots:]]
         starts_ms.extend([pause_ms] * (slots - len(busy)))
         if worker.rate is not None:
-            starts_ms = _spaced(starts_ms, worker.rate, now_ms)
+            starts_ms = _apply_rate_limit(starts_ms, worker.rate, now_ms)
         free.extend(starts_ms)
-    return Forecast(free)
+    return SlotForecast(free)
 
 
-def _spaced(starts_ms: list[float], rate: NamedRate, now_ms: float) -> list[float]:
-    """Return when as many slots come free as a rate keeps busy."""
-    busy_slots = max(1, math.ceil(rate.per_s * _HELD_S))
+def _apply_rate_limit(
+    starts_ms: list[float], rate: EndpointRateLimit, now_ms: float
+) -> list[float]:
+    """Limit slots to those that a rate limit can keep busy, and space their starts."""
+    busy_slots = max(1, math.ceil(rate.per_s * _SLOT_HOLD_S))
     gap_ms = 1000.0 / rate.per_s
     first_ms = rate.wait_ms(now_ms)
     soonest = sorted(starts_ms)[:busy_slots]
     return [max(one, first_ms + n * gap_ms) for n, one in enumerate(soonest)]
 
 
-class FleetPace:
-    """How fast a service's endpoints are together, for any request.
+class FleetLatencyModel:
+    """Combined latency of a service's endpoints.
 
     Args:
-        paces: Those of the endpoints that may get work.
+        models: Latency models of the endpoints that are not leaving.
     """
 
-    def __init__(self, paces: Sequence[Pace]) -> None:
-        count = max(1, len(paces))
-        self._first_ms = sum(pace.first_ms for pace in paces) / count
-        self._prompt_token_ms = sum(pace.prompt_token_ms for pace in paces) / count
-        self._answer_token_ms = sum(pace.answer_token_ms for pace in paces) / count
-        self._fastest = _undominated(paces)
+    def __init__(self, models: Sequence[LatencyModel]) -> None:
+        count = max(1, len(models))
+        self._base_ttft_ms = sum(model.base_ttft_ms for model in models) / count
+        self._ms_per_prompt_token = (
+            sum(model.ms_per_prompt_token for model in models) / count
+        )
+        self._ms_per_answer_token = (
+            sum(model.ms_per_answer_token for model in models) / count
+        )
+        self._fastest = _pareto_optimal(models)
 
     def duration_ms(self, handle: Handle) -> float:
-        """Return how long a request holds a slot in the mean of the endpoints."""
-        prompt_ms = handle.prefill_tokens * self._prompt_token_ms
-        answer_ms = handle.decode_tokens * self._answer_token_ms
-        return self._first_ms + prompt_ms + answer_ms
+        """Return how long a request holds a slot, averaged over the endpoints."""
+        prompt_ms = handle.prefill_tokens * self._ms_per_prompt_token
+        answer_ms = handle.decode_tokens * self._ms_per_answer_token
+        return self._base_ttft_ms + prompt_ms + answer_ms
 
-    def first_ms(self, handle: Handle) -> float:
-        """Return the time to a first answer byte where it comes soonest."""
+    def min_ttft_ms(self, handle: Handle) -> float:
+        """Return the shortest time to first byte at any endpoint."""
         tokens = handle.prefill_tokens
         return min(
-            (pace.first_ms + tokens * pace.prompt_token_ms for pace in self._fastest),
+            (
+                model.base_ttft_ms + tokens * model.ms_per_prompt_token
+                for model in self._fastest
+            ),
             default=0.0,
         )
 
 
-def _undominated(paces: Sequence[Pace]) -> list[Pace]:
-    """Return the paces that are the soonest for some length of prompt."""
-    found: list[Pace] = []
-    for pace in sorted(paces, key=lambda one: (one.first_ms, one.prompt_token_ms)):
-        if not found or pace.prompt_token_ms < found[-1].prompt_token_ms:
-            found.append(pace)
+def _pareto_optimal(models: Sequence[LatencyModel]) -> list[LatencyModel]:
+    """Return the models that are the fastest for some prompt length."""
+    found: list[LatencyModel] = []
+    for model in sorted(
+        models, key=lambda one: (one.base_ttft_ms, one.ms_per_prompt_token)
+    ):
+        if not found or model.ms_per_prompt_token < found[-1].ms_per_prompt_token:
+            found.append(model)
     return found
 
 
-class Outlook:
-    """When each of the waiting requests begins, as predicted at one moment.
+class WaitForecast:
+    """Predicted start time of each waiting request.
 
     Args:
-        forecast: The slots, before any waiting request uses one.
-        pace: How fast the endpoints are.
-        made_ms: The moment.
+        forecast: Forecast of the slots, without waiting requests.
+        latency: Combined latency of the endpoints.
+        created_ms: Time at which the forecast is made.
 
     Attributes:
-        slots: How many slots there are.
+        latency: Combined latency of the endpoints.
+        created_ms: Time at which the forecast was made.
+        slots: Number of slots, at least 1.
     """
 
-    def __init__(self, forecast: Forecast, pace: FleetPace, made_ms: float) -> None:
-        self.pace = pace
-        self.made_ms = made_ms
+    def __init__(
+        self, forecast: SlotForecast, latency: FleetLatencyModel, created_ms: float
+    ) -> None:
+        self.latency = latency
+        self.created_ms = created_ms
         self._forecast = forecast
         self.slots = max(1, len(forecast))
-        self._keys: list[Key] = []
+        self._keys: list[QueueKey] = []
         self._starts_ms: list[float] = []
-        self._added: list[tuple[Key, float]] = []
+        self._added: list[tuple[QueueKey, float]] = []
 
-    def append(self, key: Key, handle: Handle) -> None:
-        """Add the next request in the order of grants."""
+    def append(self, key: QueueKey, handle: Handle) -> None:
+        """Add the next request in queue order."""
         self._keys.append(key)
         self._starts_ms.append(self._forecast.next_ms())
-        self._forecast.use(self.pace.duration_ms(handle))
+        self._forecast.occupy(self.latency.duration_ms(handle))
 
     def next_ms(self) -> float:
-        """Return when the next one to be appended would begin, from ``made_ms``."""
+        """Return the wait of the next request to append, from ``created_ms`` on."""
         return self._forecast.next_ms()
 
-    def start_ms(self, key: Key, now_ms: float) -> float:
-        """Return how long a request that comes now would wait."""
+    def start_ms(self, key: QueueKey, now_ms: float) -> float:
+        """Return how long a request that arrives now would wait."""
         place = bisect_right(self._keys, key)
         ahead = place < len(self._keys)
         start_ms = self._starts_ms[place] if ahead else self._forecast.next_ms()
         added_ms = sum(taken for other, taken in self._added if other <= key)
-        since_ms = now_ms - self.made_ms
+        since_ms = now_ms - self.created_ms
         return max(0.0, start_ms + added_ms / self.slots - since_ms)
 
-    def add(self, key: Key, handle: Handle) -> None:
-        """Count a request that came after the prediction was made."""
-        self._added.append((key, self.pace.duration_ms(handle)))
+    def add(self, key: QueueKey, handle: Handle) -> None:
+        """Count a request that arrived after the forecast was made."""
+        self._added.append((key, self.latency.duration_ms(handle)))
--- a/src/pomelolane/scheduler/objective/lengths.py
+++ b/src/pomelolane/scheduler/objective/lengths.py
@@ -1,24 +1,24 @@
-"""How many events an answer has for each token that its caller expects."""
+"""Running estimates of tokens per answer event and of prediction errors."""
 
 from __future__ import annotations
 
 import math
 
-_STEP = 0.04
-"""Weight of one answer: the last twenty-five or so count, about a second of traffic."""
+_SMOOTHING = 0.04
+"""Weight of one sample: averages over the last 25 or so, about a second of traffic."""
 
-_FIRST_STEP = 0.5
-_LARGEST_ERROR = math.log(8.0)
-"""Most that one answer may be off: a hint can be wrong by any factor."""
+_INITIAL_SMOOTHING = 0.5
+_MAX_LOG_ERROR = math.log(8.0)
+"""Clamp for one sample, as a length hint can be wrong by any factor."""
 
 
 class EventSize:
-    """Learns the expected tokens of an answer for each event that came of them.
+    """Estimates how many hinted answer tokens correspond to one answer event.
 
-    Hints are right at the median only, so the logarithm of the ratio is averaged.
+    Hints are right only at the median, so the logarithm of the ratio is averaged.
 
     Args:
-        tokens: Expected before any answer was seen.
+        tokens: Initial estimate of tokens per event.
     """
 
     def __init__(self, tokens: float) -> None:
@@ -26,31 +26,34 @@
         self._seen = 0
 
     def learn(self, expected_tokens: int, events: int) -> None:
-        """Take in a whole answer.
+        """Update the estimate from a complete answer.
 
         Args:
-            expected_tokens: What its caller expected.
-            events: How many events it had.
+            expected_tokens: Answer length that the caller hinted.
+            events: Number of events in the answer.
         """
         if expected_tokens <= 0 or events <= 0:
             return
         self._seen += 1
-        step = max(_STEP, _FIRST_STEP / self._seen)
+        step = max(_SMOOTHING, _INITIAL_SMOOTHING / self._seen)
         error = math.log(expected_tokens / events / self.tokens)
-        error = max(-_LARGEST_ERROR, min(_LARGEST_ERROR, error))
+        error = max(-_MAX_LOG_ERROR, min(_MAX_LOG_ERROR, error))
         self.tokens = max(1.0, self.tokens * math.exp(step * error))
 
 
-class Spread:
-    """Learns by how much first answer bytes miss their prediction, in the mean."""
+class PredictionError:
+    """Estimates the mean absolute error of predicted times to first byte."""
 
     def __init__(self) -> None:
         self.mean_ms = 0.0
         self._seen = 0
 
     def learn(self, took_ms: float, expected_ms: float) -> None:
-        """Take in how long a first answer byte took; it is off by the whole at most."""
+        """Update the estimate from a measured time to first byte.
+
+        The error of one sample is clamped to the predicted time.
+        """
         self._seen += 1
-        step = max(_STEP, _FIRST_STEP / self._seen)
+        step = max(_SMOOTHING, _INITIAL_SMOOTHING / self._seen)
         error_ms = min(expected_ms, abs(took_ms - expected_ms))
         self.mean_ms += step * (error_ms - self.mean_ms)
--- a/src/pomelolane/scheduler/objective/options.py
+++ b/src/pomelolane/scheduler/objective/options.py
@@ -1,4 +1,4 @@
-"""Constants of the objective policy, each with its unit and its source."""
+"""Tuning constants of the objective policy, with units and reasons."""
 
 from __future__ import annotations
 
@@ -7,57 +7,57 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveOptions:
-    """How the policy predicts, waits and suspects.
+    """Constants for predicting response times, queueing and suspending endpoints.
 
     Attributes:
-        prefill_per_ms: Prompt tokens an engine of speed 1 reads in a
-            millisecond; the users' sheets say 55.
-        first_token_ms: Time to a first token beside the prompt's; the calm
-            days show 20 to 30 ms on the fastest engines.
-        token_ms: Time of one answer token of speed 1; a step takes 2.89 ms
-            and a little more for each running request (users' sheets).
-        plain_ms: Work time of a plain call of speed 1 (users' sheets).
-        prefill_chunk_tokens: Prompt tokens read between two tokens of the
-            streams that run beside (a common size of engines' chunks).
-        tokens_per_event: Expected answer tokens in one event of a stream, before
-            any answer was seen.
-        gap_share: Part of the allowed pause between events that a prompt may
-            take from the streams that run beside it.
-        speed_step: Weight of one observation in a learnt speed.
-        suspect_ms: Silence beyond the prediction after which an endpoint gets
-            nothing more; three predictions are added.
-        suspend_ms: Pause of an endpoint after failures, doubled each time.
-        suspend_limit_ms: Longest such pause; about the time after which the
-            registry drops a silent endpoint.
-        refused_pause_ms: Pause of an endpoint that refused as full.
-        late_free_share: Part of all slots kept free of late work.
-        wait_factor: How much longer than predicted a wait is taken to be.
-        late_share: Part of the time between objective and deadline for which a
-            late request goes on waiting; callers give up before half of it.
-        patience_share: Part of the time for which callers bear silence that a
-            request waits at most: what is left must be enough for a first answer
-            byte on a slow endpoint, and a refusal while the caller is there lets it
-            come back.
-        early_share: Part of the objective within which a refusal still costs
-            the caller nothing.
-        demand_ms: How long what was granted to a rank is remembered: bursts of
-            arrivals are over in seconds, and a slot is held for about one.
-        length_factor: How much longer than hinted an answer may be and still
-            end in time: hints are right at the median only.
-        min_retry_ms: Shortest time to come back that is told.
-        max_retry_ms: Longest one; callers have seconds.
-        far_ms: How much sooner an answer must begin in another data centre than in
-            the caller's own; a message takes about 1.5 ms more each way, and the
-            bytes between data centres are paid for.
-        margin_ms: What an answer takes on its ways between caller, gateway, scheduler
-            and endpoint, beside what is predicted of the endpoint: some five ways of
-            1 to 3 ms. A full service is granted what is predicted to be just on time,
-            and much of that would be just late.
-        spread_factor: How many times the mean error of predictions an answer must be
-            predicted before it is due: calls of unlike length are predicted in the
-            mean only, and a full service would answer many just too late.
-        fail_step: Weight of one answer in the learnt share of failures.
-        fail_weight: How much a share of failures lengthens a prediction.
+        prefill_per_ms: Prompt tokens that an engine of speed 1 reads per millisecond
+            (55 in the users' data sheets).
+        first_token_ms: Time to the first token without reading the prompt; 20 to 30 ms
+            under light load on the fastest engines.
+        token_ms: Time per answer token at speed 1; a decode step takes 2.89 ms and a
+            little more for each running request (users' data sheets).
+        plain_ms: Duration of a plain call at speed 1 (users' data sheets).
+        prefill_chunk_tokens: Prompt tokens read between two tokens of concurrent
+            streams (a common chunk size of engines).
+        tokens_per_event: Initial estimate of answer tokens per stream event.
+        gap_share: Share of the allowed pause between events that reading a prompt may
+            take up in concurrent streams.
+        speed_step: Weight of one sample in the learnt speed.
+        suspect_ms: Silence after which a request counts as silent, in addition to three
+            times its predicted time to first byte.
+        suspend_ms: Suspension of an endpoint after failures, doubled each time.
+        suspend_limit_ms: Longest suspension; about the time after which the registry
+            drops a silent endpoint.
+        refused_pause_ms: Pause of an endpoint that refused a request as full, doubled with
+            each consecutive failure to at most 32 times this value.
+        late_free_share: Share of all slots kept free of late requests while
+            others wait.
+        wait_factor: Safety factor on predicted waits.
+        late_share: Share of the time between objective and deadline for which a late
+            request keeps waiting; callers give up before half of it.
+        patience_share: Share of the time that a caller waits for a first byte for which
+            a request may wait in the queue. The rest must be enough for a first answer
+            byte on a slow endpoint. A refusal while the caller is still connected lets
+            it retry.
+        early_share: Share of the objective within which a refusal leaves the caller
+            time to try elsewhere.
+        demand_ms: Time constant of the demand per rank: bursts of arrivals last
+            seconds, and a slot is held for about one second.
+        length_factor: How many times longer than hinted an answer may be and still end
+            before its deadline, as hints are right only at the median.
+        min_retry_ms: Shortest retry delay in refusals.
+        max_retry_ms: Longest retry delay in refusals; callers have only seconds.
+        far_ms: How much sooner an answer must begin for an endpoint in another data
+            centre to be preferred. A message takes about 1.5 ms more each way, and
+            traffic between data centres is paid for.
+        margin_ms: Time for messages between caller, gateway, scheduler and endpoint:
+            about five hops of 1 to 3 ms. Under full load, requests predicted to be just
+            on time are granted, and without the margin many of them would be late.
+        spread_factor: Safety margin in multiples of the mean prediction error. Calls of
+            varying duration are predicted by their mean, so that under full load many
+            would be answered just too late without it.
+        fail_step: Weight of one sample in the learnt share of failures.
+        fail_weight: Penalty factor on predicted times per share of failed answers.
     """
 
     prefill_per_ms: float = 55.0
--- a/tests/steps/objective_steps.py
+++ b/tests/steps/objective_steps.py
@@ -151,7 +151,7 @@
 @then("at most {most:d} read prompts are remembered")
 def step_prompts_bounded(context, most):
     (worker,) = context.core.core._fleet
-    assert 0 < len(worker.read_prompts) <= most
+    assert 0 < len(worker.recent_prompts) <= most
 
 
 @when('"{name}" begins to answer')
@@ -438,7 +438,7 @@
 @then("an answer of {tokens:d} tokens is expected to have {least:d} to {most:d} events")
 def step_expected_events(context, tokens, least, most):
     worker = next(iter(context.core.core._fleet))
-    events = worker._expected_pieces(_handle("expected", decode=tokens))
+    events = worker._expected_events(_handle("expected", decode=tokens))
     assert least <= events <= most, events
 
 
