--- a/src/pomelolane/scheduler/objective/options.py
+++ b/src/pomelolane/scheduler/objective/options.py
@@ -28,8 +28,8 @@
         suspend_ms: Suspension of an endpoint after failures, doubled each time.
         suspend_limit_ms: Longest suspension; about the time after which the registry
             drops a silent endpoint.
-        refused_pause_ms: Pause of an endpoint that refused a request as full, doubled with
-            each consecutive failure to at most 32 times this value.
+        refused_pause_ms: Pause of an endpoint that refused a request as full, doubled
+            with each consecutive failure to at most 32 times this value.
         late_free_share: Share of all slots kept free of late requests while
             others wait.
         wait_factor: Safety factor on predicted waits.
--- a/src/pomelolane/scheduler/objective/worker.py
+++ b/src/pomelolane/scheduler/objective/worker.py
@@ -24,7 +24,7 @@
 _SILENT_REQUESTS_TO_SUSPEND = 2
 _EVENT_INTERVAL_SMOOTHING = 0.1
 _MAX_RECENT_PROMPTS = 64
-"""Recently read prompts that are kept: more than an engine reads in an allowed pause."""
+"""Recently read prompts kept: more than an engine reads in an allowed pause."""
 
 _UNLIMITED_TOKENS = float("inf")
 _INELIGIBLE_MS = float("inf")
