--- a/src/pomelolane/coordination/account.py
+++ b/src/pomelolane/coordination/account.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterable
 
     from pomelolane.ports import Clock, SchedulingCore
-    from pomelolane.scheduler.spans import Use
+    from pomelolane.scheduler.rate_limiting import Use
 
 
 class Account:
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -15,7 +15,7 @@
 
     from pomelolane.coordination import Coordination, Desk
     from pomelolane.forwarding.told import ToldUses
-    from pomelolane.scheduler.spans import Use
+    from pomelolane.scheduler.rate_limiting import Use
 
 TICK_S = 0.25
 """Shortest time between two records."""
--- a/src/pomelolane/forwarding/told.py
+++ b/src/pomelolane/forwarding/told.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.messages import ToldUse, UsesTold
-from pomelolane.scheduler.spans import Use
+from pomelolane.scheduler.rate_limiting import Use
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
--- a/src/pomelolane/forwarding/usenews.py
+++ b/src/pomelolane/forwarding/usenews.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from pomelolane.coordination import Coordination, Desk
     from pomelolane.forwarding.told import ToldUses
-    from pomelolane.scheduler.spans import Use
+    from pomelolane.scheduler.rate_limiting import Use
 
 _ALONE = "/alone"
 """Added to the name of the account of a gateway that hears no scheduler."""
--- a/src/pomelolane/platform/userecord.py
+++ b/src/pomelolane/platform/userecord.py
@@ -13,7 +13,7 @@
 from pomelolane import events
 from pomelolane.forwarding.told import start_name
 from pomelolane.logs import log_event
-from pomelolane.scheduler.spans import Use
+from pomelolane.scheduler.rate_limiting import Use
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.outcomes import Outcome, Reason, Refusal
-from pomelolane.scheduler.spans import SlidingWindow, TokenBucket, Use
+from pomelolane.scheduler.rate_limiting import SlidingWindow, TokenBucket, Use
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -11,7 +11,7 @@
 from pomelolane.forwarding.told import ToldUses
 from pomelolane.messages import ToldUse, UsesTold
 from pomelolane.ports import Peer, View
-from pomelolane.scheduler.spans import Use
+from pomelolane.scheduler.rate_limiting import Use
 
 SERVICE = "s"
 
--- a/tests/steps/objective_steps.py
+++ b/tests/steps/objective_steps.py
@@ -9,7 +9,7 @@
 from pomelolane.model import Limits, Organisation
 from pomelolane.outcomes import Reason, Refusal
 from pomelolane.ports import Grant
-from pomelolane.scheduler.spans import SlidingWindow, Use
+from pomelolane.scheduler.rate_limiting import SlidingWindow, Use
 
 LONG_ANSWER_TOKENS = 3000
 
--- a/tests/steps/platform_watching_steps.py
+++ b/tests/steps/platform_watching_steps.py
@@ -13,7 +13,7 @@
 from pomelolane.platform.roster import VmRoster
 from pomelolane.platform.storeclient import StoreClient
 from pomelolane.platform.userecord import StoreUseRecord
-from pomelolane.scheduler.spans import Use
+from pomelolane.scheduler.rate_limiting import Use
 from standins.routed import MetadataStore, RoutedEndpoint
 from standins.routed.endpoint import registered
 from standins.routed.store import Trouble
