--- a/src/pomelolane/coordination/account.py
+++ b/src/pomelolane/coordination/account.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterable
 
     from pomelolane.ports import Clock, SchedulingCore
-    from pomelolane.scheduler.rate_limiting import Use
+    from pomelolane.scheduler.rate_limiting import TokenUse
 
 
 class Account:
@@ -33,7 +33,7 @@
         """
         self._book.assume_used(spare_part, self._clock.now_ms())
 
-    def uses(self) -> list[Use]:
+    def uses(self) -> list[TokenUse]:
         """Return what passed here and still counts."""
         return self._book.uses(self._clock.now_ms())
 
@@ -49,7 +49,7 @@
         """Return the largest part of an allowance that is news to other schedulers."""
         return self._book.untold_share()
 
-    def take_news(self) -> list[Use]:
+    def take_news(self) -> list[TokenUse]:
         """Return what passed since the last news; it counts as told then."""
         return self._book.take_news()
 
@@ -61,7 +61,7 @@
         """Return the organisations whose limits are judged by a guess."""
         return self._book.guessed(self._clock.now_ms())
 
-    def take_uses(self, uses: Iterable[Use], *, guess_part: float = 0.0) -> None:
+    def take_uses(self, uses: Iterable[TokenUse], *, guess_part: float = 0.0) -> None:
         """Count what others let pass.
 
         Args:
@@ -70,7 +70,9 @@
         """
         self._book.take_uses(uses, self._clock.now_ms(), guess_part=guess_part)
 
-    def hear(self, source: tuple[str, str], uses: Iterable[Use], *, adds: bool) -> None:
+    def hear(
+        self, source: tuple[str, str], uses: Iterable[TokenUse], *, adds: bool
+    ) -> None:
         """Count what another scheduler tells that it let pass.
 
         Args:
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -15,7 +15,7 @@
 
     from pomelolane.coordination import Coordination, Desk
     from pomelolane.forwarding.told import ToldUses
-    from pomelolane.scheduler.rate_limiting import Use
+    from pomelolane.scheduler.rate_limiting import TokenUse
 
 TICK_S = 0.25
 """Shortest time between two records."""
@@ -44,14 +44,14 @@
 class UseRecord(Protocol):
     """Where the record is kept."""
 
-    async def save(self, service: str, uses: Sequence[Use]) -> None:
+    async def save(self, service: str, uses: Sequence[TokenUse]) -> None:
         """Replace this VM's record of a service.
 
         Raises:
             PlatformError: It may not have been replaced.
         """
 
-    async def load(self) -> Sequence[Use]:
+    async def load(self) -> Sequence[TokenUse]:
         """Return what all others recorded, of all services, with present ages.
 
         Raises:
@@ -154,7 +154,7 @@
         if desk is not None and guess_part < 1.0:
             desk.account.take_uses(self._known(service, ()), guess_part=guess_part)
 
-    def _known(self, service: str, recorded: Sequence[Use]) -> list[Use]:
+    def _known(self, service: str, recorded: Sequence[TokenUse]) -> list[TokenUse]:
         """Return what others let pass, by the record, their word, and this VM."""
         return [*self._told.merge(recorded), *self._passed_here_beside(service)]
 
@@ -195,7 +195,7 @@
         self._awaiting.discard(service)
         if self._coordination.role.desk(service) is None:
             return
-        recorded: Sequence[Use] = ()
+        recorded: Sequence[TokenUse] = ()
         is_read = False
         try:
             recorded = await self._record.load()
@@ -229,7 +229,7 @@
                 organisations=len(guessed),
             )
 
-    def _passed_here_beside(self, service: str) -> list[Use]:
+    def _passed_here_beside(self, service: str) -> list[TokenUse]:
         """Return what passed under this VM for other services."""
         return [
             replace(use, service=name, scheduler=self._told.own_source(name)[1])
--- a/src/pomelolane/forwarding/told.py
+++ b/src/pomelolane/forwarding/told.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.messages import ToldUse, UsesTold
-from pomelolane.scheduler.rate_limiting import Use
+from pomelolane.scheduler.rate_limiting import TokenUse
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
@@ -57,11 +57,13 @@
         self._membership = membership
         self._transport = transport
         self._clock = clock
-        self._heard: dict[tuple[str, str], list[tuple[float, Use]]] = {}
+        self._heard: dict[tuple[str, str], list[tuple[float, TokenUse]]] = {}
         self._words: dict[str, tuple[float, float]] = {}
         self._has_read = False
         self.on_left: Callable[[str], None] = _ignore
-        self.on_news: Callable[[tuple[str, str], list[Use], bool], None] = _ignore_news
+        self.on_news: Callable[[tuple[str, str], list[TokenUse], bool], None] = (
+            _ignore_news
+        )
         transport.subscribe(UsesTold, self._take)
 
     def own_source(self, service: str) -> tuple[str, str]:
@@ -71,7 +73,7 @@
     def tell_all(
         self,
         service: str,
-        uses: Sequence[Use],
+        uses: Sequence[TokenUse],
         *,
         next_vms: Iterable[str],
         guess_part: float,
@@ -106,7 +108,7 @@
         self,
         vm_ids: Iterable[str],
         service: str,
-        uses: Sequence[Use],
+        uses: Sequence[TokenUse],
         *,
         adds: bool = False,
         account: str = "",
@@ -145,7 +147,10 @@
                 self._transport.send(vm_id, message)
 
     def _take_passed_on(
-        self, source: tuple[str, str], heard: list[tuple[float, Use]], now_ms: float
+        self,
+        source: tuple[str, str],
+        heard: list[tuple[float, TokenUse]],
+        now_ms: float,
     ) -> None:
         """Keep what another VM has heard, for when this one takes a role.
 
@@ -168,10 +173,10 @@
         told_ms, part = self._words.get(service, (-inf, 1.0))
         return part if self._clock.now_ms() - told_ms < WORD_COUNTS_MS else 1.0
 
-    def keep_read(self, recorded: Sequence[Use]) -> None:
+    def keep_read(self, recorded: Sequence[TokenUse]) -> None:
         """Keep what was read from the record, for schedulers that cannot read it."""
         now_ms = self._clock.now_ms()
-        accounts: dict[tuple[str, str], list[tuple[float, Use]]] = {}
+        accounts: dict[tuple[str, str], list[tuple[float, TokenUse]]] = {}
         for use in recorded:
             accounts.setdefault(use.source, []).append((now_ms, use))
         for source, uses in accounts.items():
@@ -183,11 +188,11 @@
         has_read, self._has_read = self._has_read, False
         return has_read
 
-    def merge(self, recorded: Sequence[Use]) -> list[Use]:
+    def merge(self, recorded: Sequence[TokenUse]) -> list[TokenUse]:
         """Return recorded uses, accounts replaced by their word where it is younger."""
         now_ms = self._clock.now_ms()
         self._forget(now_ms)
-        accounts: dict[tuple[str, str], list[Use]] = {}
+        accounts: dict[tuple[str, str], list[TokenUse]] = {}
         for use in recorded:
             accounts.setdefault(use.source, []).append(use)
         for source, heard in self._heard.items():
@@ -208,7 +213,7 @@
         scheduler = message.account or sender
         source = message.service, scheduler
         uses = [
-            Use(
+            TokenUse(
                 told.organisation,
                 told.age_ms,
                 told.tokens,
@@ -241,19 +246,19 @@
     return f"{vm_id}/{incarnation}"
 
 
-def _told(uses: Iterable[Use]) -> tuple[ToldUse, ...]:
+def _told(uses: Iterable[TokenUse]) -> tuple[ToldUse, ...]:
     return tuple(
         ToldUse(use.organisation, use.age_ms, use.tokens, use.bound) for use in uses
     )
 
 
-def _aged(heard: Iterable[tuple[float, Use]], now_ms: float) -> list[Use]:
+def _aged(heard: Iterable[tuple[float, TokenUse]], now_ms: float) -> list[TokenUse]:
     return [
         replace(use, age_ms=use.age_ms + int(now_ms - at_ms)) for at_ms, use in heard
     ]
 
 
-def _youngest_ms(uses: Iterable[Use]) -> float:
+def _youngest_ms(uses: Iterable[TokenUse]) -> float:
     return min((use.age_ms for use in uses), default=inf)
 
 
@@ -261,5 +266,5 @@
     """Stand in until somebody wants to know."""
 
 
-def _ignore_news(source: tuple[str, str], uses: list[Use], adds: bool) -> None:
+def _ignore_news(source: tuple[str, str], uses: list[TokenUse], adds: bool) -> None:
     """Stand in until somebody wants to know."""
--- a/src/pomelolane/forwarding/usenews.py
+++ b/src/pomelolane/forwarding/usenews.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from pomelolane.coordination import Coordination, Desk
     from pomelolane.forwarding.told import ToldUses
-    from pomelolane.scheduler.rate_limiting import Use
+    from pomelolane.scheduler.rate_limiting import TokenUse
 
 _ALONE = "/alone"
 """Added to the name of the account of a gateway that hears no scheduler."""
@@ -122,7 +122,7 @@
         self,
         service: str,
         listeners: frozenset[str],
-        uses: list[Use],
+        uses: list[TokenUse],
         *,
         adds: bool = False,
         guess_part: float | None = None,
@@ -146,7 +146,7 @@
             listeners, service, uses, adds=adds, account=account, guess_part=guess_part
         )
 
-    def _heard(self, source: tuple[str, str], uses: list[Use], adds: bool) -> None:
+    def _heard(self, source: tuple[str, str], uses: list[TokenUse], adds: bool) -> None:
         for desk in self._desks_beside(source):
             desk.account.hear(source, uses, adds=adds)
 
--- a/src/pomelolane/platform/userecord.py
+++ b/src/pomelolane/platform/userecord.py
@@ -13,7 +13,7 @@
 from pomelolane import events
 from pomelolane.forwarding.told import start_name
 from pomelolane.logs import log_event
-from pomelolane.scheduler.rate_limiting import Use
+from pomelolane.scheduler.rate_limiting import TokenUse
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -60,7 +60,7 @@
         self._former: dict[str, list[_Entry]] = {}
         self._is_read = False
 
-    async def save(self, service: str, uses: Sequence[Use]) -> None:
+    async def save(self, service: str, uses: Sequence[TokenUse]) -> None:
         """Replace this VM's record of a service, but for what earlier starts let pass.
 
         Raises:
@@ -77,7 +77,7 @@
         record = msgspec.json.encode(_Record(self._incarnation, entries, former))
         await self._store.write(_TABLE, {self._key(service): record})
 
-    async def load(self) -> list[Use]:
+    async def load(self) -> list[TokenUse]:
         """Return what all others recorded, of all services, with present ages.
 
         Raises:
@@ -85,7 +85,7 @@
         """
         snapshot = await self._store.read(_TABLE)
         now_ms = int(snapshot.now_ms)
-        found: list[Use] = []
+        found: list[TokenUse] = []
         for row in snapshot.rows:
             service, separator, vm_id = row.key.rpartition("/")
             if row.deleted or not separator:
@@ -134,9 +134,9 @@
 
 def _uses(
     entries: Iterable[_Entry], now_ms: int, service: str, vm_id: str
-) -> list[Use]:
+) -> list[TokenUse]:
     return [
-        Use(
+        TokenUse(
             entry.organisation,
             max(0, now_ms - entry.at_ms),
             entry.tokens,
--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.outcomes import Outcome, Reason, Refusal
-from pomelolane.scheduler.rate_limiting import SlidingWindow, TokenBucket, Use
+from pomelolane.scheduler.rate_limiting import SlidingWindow, TokenBucket, TokenUse
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -95,7 +95,7 @@
             if account.window is not None:
                 account.window.assume_used(spare_part, now_ms)
 
-    def uses(self, now_ms: float) -> list[Use]:
+    def uses(self, now_ms: float) -> list[TokenUse]:
         """Return what this scheduler let pass in the spans that still count."""
         found = []
         for name, account in self._organisations.items():
@@ -118,7 +118,7 @@
         shares = (abs(window.untold_share()) for window in self._windows())
         return max(shares, default=0.0)
 
-    def take_news(self) -> list[Use]:
+    def take_news(self) -> list[TokenUse]:
         """Return what passed since the last news; it counts as told then."""
         news = []
         for name, account in self._organisations.items():
@@ -126,11 +126,16 @@
                 continue
             tokens, bound = account.window.take_news()
             if tokens:
-                news.append(Use(name, 0, tokens, bound=bound))
+                news.append(TokenUse(name, 0, tokens, bound=bound))
         return news
 
     def hear(
-        self, source: tuple[str, str], uses: Iterable[Use], now_ms: float, *, adds: bool
+        self,
+        source: tuple[str, str],
+        uses: Iterable[TokenUse],
+        now_ms: float,
+        *,
+        adds: bool,
     ) -> None:
         """Count what another scheduler tells that it let pass.
 
@@ -148,7 +153,7 @@
         for use in uses:
             self._add_past(use, source, now_ms)
 
-    def _add_past(self, use: Use, source: tuple[str, str], now_ms: float) -> None:
+    def _add_past(self, use: TokenUse, source: tuple[str, str], now_ms: float) -> None:
         account = self._organisations.get(use.organisation)
         if account is not None and account.window is not None:
             at_ms = now_ms - use.age_ms
@@ -172,7 +177,7 @@
         ]
 
     def take_uses(
-        self, uses: Iterable[Use], now_ms: float, *, guess_part: float = 0.0
+        self, uses: Iterable[TokenUse], now_ms: float, *, guess_part: float = 0.0
     ) -> None:
         """Count what other schedulers let pass.
 
--- a/src/pomelolane/scheduler/rate_limiting.py
+++ b/src/pomelolane/scheduler/rate_limiting.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class TokenUse:
     """What an organisation used of its limit.
 
     Attributes:
@@ -206,7 +206,7 @@
         """Take note that what has passed until now is on record."""
         self._unrecorded = 0.0
 
-    def uses(self, organisation: str, now_ms: float) -> list[Use]:
+    def uses(self, organisation: str, now_ms: float) -> list[TokenUse]:
         """Return what this scheduler let pass, summed up by steps of its age."""
         self._forget(now_ms)
         sums: dict[tuple[int, int], float] = {}
@@ -215,7 +215,7 @@
             key = age_ms, round(bound)
             sums[key] = sums.get(key, 0.0) + tokens
         return [
-            Use(organisation, age_ms, round(total), bound=bound)
+            TokenUse(organisation, age_ms, round(total), bound=bound)
             for (age_ms, bound), total in sums.items()
         ]
 
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -11,7 +11,7 @@
 from pomelolane.forwarding.told import ToldUses
 from pomelolane.messages import ToldUse, UsesTold
 from pomelolane.ports import Peer, View
-from pomelolane.scheduler.rate_limiting import Use
+from pomelolane.scheduler.rate_limiting import TokenUse
 
 SERVICE = "s"
 
@@ -30,7 +30,7 @@
         self.share = 0.0
 
     def uses(self):
-        return [Use("o", 0, 100)]
+        return [TokenUse("o", 0, 100)]
 
     def guess_part(self):
         return 0.0
@@ -103,8 +103,8 @@
 def step_recorded_before(context):
     step_scheduler(context, 0.0)
     context.record.recorded = [
-        Use("o", 0, 100, "vm-1/1", service=SERVICE),
-        Use("o", 0, 40, "vm-2/1", service=SERVICE),
+        TokenUse("o", 0, 100, "vm-1/1", service=SERVICE),
+        TokenUse("o", 0, 40, "vm-2/1", service=SERVICE),
     ]
 
 
--- a/tests/steps/objective_steps.py
+++ b/tests/steps/objective_steps.py
@@ -9,7 +9,7 @@
 from pomelolane.model import Limits, Organisation
 from pomelolane.outcomes import Reason, Refusal
 from pomelolane.ports import Grant
-from pomelolane.scheduler.rate_limiting import SlidingWindow, Use
+from pomelolane.scheduler.rate_limiting import SlidingWindow, TokenUse
 
 LONG_ANSWER_TOKENS = 3000
 
@@ -390,7 +390,7 @@
     context.passed += 1
     assert passed == tokens, passed
     uses = context.core.core.limits.uses(context.core.now)
-    assert all(isinstance(use, Use) for use in uses)
+    assert all(isinstance(use, TokenUse) for use in uses)
 
 
 @given("a handle with {budget_ms:d} ms of budget and {patience_ms:d} ms of patience")
--- a/tests/steps/platform_watching_steps.py
+++ b/tests/steps/platform_watching_steps.py
@@ -13,7 +13,7 @@
 from pomelolane.platform.roster import VmRoster
 from pomelolane.platform.storeclient import StoreClient
 from pomelolane.platform.userecord import StoreUseRecord
-from pomelolane.scheduler.rate_limiting import Use
+from pomelolane.scheduler.rate_limiting import TokenUse
 from standins.routed import MetadataStore, RoutedEndpoint
 from standins.routed.endpoint import registered
 from standins.routed.store import Trouble
@@ -201,7 +201,7 @@
 def step_record(context, tokens, organisation, ms):
     record = StoreUseRecord(context.client, "vm-1", 1)
     context.run(context.client.read("op"))
-    context.run(record.save("pool", [Use(organisation, ms, tokens)]))
+    context.run(record.save("pool", [TokenUse(organisation, ms, tokens)]))
 
 
 @then('the record says {tokens:d} tokens of "{organisation}" at least {ms:d} ms ago')
@@ -220,7 +220,7 @@
         await context.client.read("op")
         for name, tokens in ((one, first), (other, second)):
             record = StoreUseRecord(context.client, name, 1)
-            await record.save("pool", [Use("org", 0, tokens)])
+            await record.save("pool", [TokenUse("org", 0, tokens)])
 
     context.run(record())
 
@@ -236,7 +236,7 @@
     context.record = record = StoreUseRecord(context.client, "vm-1", 2)
     if when == "after it has read":
         context.run(record.load())
-    context.run(record.save("pool", [Use("org", 0, tokens)]))
+    context.run(record.save("pool", [TokenUse("org", 0, tokens)]))
 
 
 @then("that VM still finds {tokens:d} tokens of before")
