--- a/src/pomelolane/coordination/account.py
+++ b/src/pomelolane/coordination/account.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from pomelolane.scheduler.limits import LimitBook
+from pomelolane.scheduler.limits import UsageLimiter
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -21,7 +21,7 @@
         clock: The desk's time.
     """
 
-    def __init__(self, book: LimitBook, clock: Clock) -> None:
+    def __init__(self, book: UsageLimiter, clock: Clock) -> None:
         self._book = book
         self._clock = clock
 
@@ -47,11 +47,11 @@
 
     def untold_share(self) -> float:
         """Return the largest part of an allowance that is news to other schedulers."""
-        return self._book.untold_share()
+        return self._book.unreported_share()
 
     def take_news(self) -> list[TokenUse]:
         """Return what passed since the last news; it counts as told then."""
-        return self._book.take_news()
+        return self._book.take_unreported()
 
     def guess_part(self) -> float:
         """Return the part of limits that is counted as used by a guess."""
@@ -59,7 +59,7 @@
 
     def guessed(self) -> list[str]:
         """Return the organisations whose limits are judged by a guess."""
-        return self._book.guessed(self._clock.now_ms())
+        return self._book.guessed_organisations(self._clock.now_ms())
 
     def take_uses(self, uses: Iterable[TokenUse], *, guess_part: float = 0.0) -> None:
         """Count what others let pass.
@@ -68,7 +68,7 @@
             uses: What they have recorded and told.
             guess_part: Part of limits that those who told it count by a guess.
         """
-        self._book.take_uses(uses, self._clock.now_ms(), guess_part=guess_part)
+        self._book.replace_reported(uses, self._clock.now_ms(), guess_part=guess_part)
 
     def hear(
         self, source: tuple[str, str], uses: Iterable[TokenUse], *, adds: bool
@@ -80,9 +80,9 @@
             uses: What passed there.
             adds: Whether it comes on top of what was told before, or replaces it.
         """
-        self._book.hear(source, uses, self._clock.now_ms(), adds=adds)
+        self._book.add_reported(source, uses, self._clock.now_ms(), adds=adds)
 
 
 def account_from_core(core: SchedulingCore, clock: Clock) -> Account:
     """Return a core's account, an empty one where it shares no limits."""
-    return Account(getattr(core, "limits", None) or LimitBook(), clock)
+    return Account(getattr(core, "limits", None) or UsageLimiter(), clock)
--- a/src/pomelolane/coordination/fallback.py
+++ b/src/pomelolane/coordination/fallback.py
@@ -28,7 +28,7 @@
     from pomelolane.coordination.options import Timings
     from pomelolane.messages import Message
     from pomelolane.ports import Clock, SchedulingCore
-    from pomelolane.scheduler.limits import LimitBook
+    from pomelolane.scheduler.limits import UsageLimiter
 
 
 class LocalDesks:
@@ -59,7 +59,7 @@
         self._tree = Tree()
         self._share = 1.0
         self._make_core = make_core
-        self._books: dict[str, LimitBook] = {}
+        self._books: dict[str, UsageLimiter] = {}
         self._clock = clock
         # The own gateway needs no sign of life.
         patient = replace(timings, follower_silence_ms=math.inf)
--- a/src/pomelolane/scheduler/core.py
+++ b/src/pomelolane/scheduler/core.py
@@ -22,7 +22,7 @@
 from pomelolane.scheduler.figures import figures_of_worker
 from pomelolane.scheduler.fleet import Fleet
 from pomelolane.scheduler.flights import FlightBook, FlightParts
-from pomelolane.scheduler.limits import LimitBook
+from pomelolane.scheduler.limits import UsageLimiter
 from pomelolane.scheduler.options import CoreOptions
 from pomelolane.scheduler.placement import Placer
 from pomelolane.scheduler.queue import FairQueue
@@ -57,7 +57,7 @@
         self._placer = Placer(self._fleet, self._prefixes, options)
         self._admission = Admission(self._fleet, self._queue, self._prefixes, options)
         self._lengths = AnswerLengths(enabled=options.learn_lengths)
-        self._limits = LimitBook()
+        self._limits = UsageLimiter()
         self._reserve = Reserve(options)
         self._flights = FlightBook(
             FlightParts(
--- a/src/pomelolane/scheduler/flights.py
+++ b/src/pomelolane/scheduler/flights.py
@@ -18,7 +18,7 @@
     from pomelolane.scheduler.affinity import PrefixIndex
     from pomelolane.scheduler.estimate import AnswerLengths
     from pomelolane.scheduler.fleet import Fleet, Worker
-    from pomelolane.scheduler.limits import LimitBook
+    from pomelolane.scheduler.limits import UsageLimiter
     from pomelolane.scheduler.options import CoreOptions
     from pomelolane.scheduler.placement import Placement
     from pomelolane.scheduler.queue import FairQueue
@@ -43,7 +43,7 @@
     fleet: Fleet
     prefixes: PrefixIndex
     lengths: AnswerLengths
-    limits: LimitBook
+    limits: UsageLimiter
     reserve: Reserve
 
 
@@ -138,7 +138,7 @@
 
     def park_if_limited(self, handle: Handle) -> bool:
         """Pass over an organisation that is at its concurrency limit."""
-        if not self._parts.limits.at_concurrency(handle):
+        if not self._parts.limits.is_at_concurrency_limit(handle):
             return False
         self._parked[handle.organisation] = handle.team
         self._parts.queue.park(handle.organisation)
--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -28,19 +28,19 @@
     def __init__(self, limits: Limits, share: float) -> None:
         self.running = 0
         self.window: SlidingWindow | None = None
-        self.adopt(limits, share)
+        self.configure(limits, share)
 
-    def adopt(self, limits: Limits, share: float) -> None:
+    def configure(self, limits: Limits, share: float) -> None:
         self.limits = limits
         self.share = share
         if limits.window_ms > 0:
-            self._adopt_window(limits, share)
+            self._configure_window(limits, share)
             self.requests = self.tokens = None
             return
         self.requests = _bucket(limits.requests_per_s * share)
         self.tokens = _bucket(limits.tokens_per_s * share, limits.burst_tokens * share)
 
-    def _adopt_window(self, limits: Limits, share: float) -> None:
+    def _configure_window(self, limits: Limits, share: float) -> None:
         bound = limits.tokens_per_s * limits.window_ms / 1000 + limits.burst_tokens
         spare = limits.window_spare * share
         if limits.tokens_per_s <= 0:
@@ -48,28 +48,28 @@
         elif self.window is None:
             self.window = SlidingWindow(bound * share, limits.window_ms, spare)
         else:
-            self.window.adopt(bound * share, spare)
+            self.window.configure(bound * share, spare)
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         limit = self.limits.concurrency
         return 0 < limit <= self.running
 
 
-class LimitBook:
+class UsageLimiter:
     """All accounts that a service's scheduler enforces."""
 
     def __init__(self) -> None:
         self._teams: dict[str, _Account] = {}
         self._organisations: dict[str, _Account] = {}
-        self._found: dict[tuple[str, str], tuple[_Account, ...]] = {}
+        self._accounts_by_tenant: dict[tuple[str, str], tuple[_Account, ...]] = {}
         self._share = 1.0
         self._raised_ms: float | None = None
 
-    def _span_ms(self) -> int:
+    def _longest_window_ms(self) -> int:
         accounts = self._organisations.values()
         return max((account.limits.window_ms for account in accounts), default=0)
 
-    def scale(self, share: float, now_ms: float) -> None:
+    def set_share(self, share: float, now_ms: float) -> None:
         """Enforce a share of every rate, as one scheduler of several.
 
         A larger share waits for as long as uses count: what others let pass
@@ -81,13 +81,16 @@
             self._raised_ms = now_ms
         if share == self._share:
             return
-        if self._raised_ms is not None and now_ms - self._raised_ms < self._span_ms():
+        if (
+            self._raised_ms is not None
+            and now_ms - self._raised_ms < self._longest_window_ms()
+        ):
             return
         self._raised_ms = None
         self._share = share
         for account in (*self._teams.values(), *self._organisations.values()):
             if account.share != share:
-                account.adopt(account.limits, share)
+                account.configure(account.limits, share)
 
     def assume_used(self, spare_part: float, now_ms: float) -> None:
         """Count windows as used by earlier schedulers, but for a part of the spare."""
@@ -113,23 +116,23 @@
         for window in self._windows():
             window.mark_recorded()
 
-    def untold_share(self) -> float:
+    def unreported_share(self) -> float:
         """Return the largest part of an allowance that is news to other schedulers."""
-        shares = (abs(window.untold_share()) for window in self._windows())
+        shares = (abs(window.unreported_share()) for window in self._windows())
         return max(shares, default=0.0)
 
-    def take_news(self) -> list[TokenUse]:
+    def take_unreported(self) -> list[TokenUse]:
         """Return what passed since the last news; it counts as told then."""
         news = []
         for name, account in self._organisations.items():
             if account.window is None:
                 continue
-            tokens, bound = account.window.take_news()
+            tokens, bound = account.window.take_unreported()
             if tokens:
                 news.append(TokenUse(name, 0, tokens, bound=bound))
         return news
 
-    def hear(
+    def add_reported(
         self,
         source: tuple[str, str],
         uses: Iterable[TokenUse],
@@ -149,15 +152,17 @@
         """
         if not adds:
             for window in self._windows():
-                window.forget_past(source)
+                window.drop_reported(source)
         for use in uses:
-            self._add_past(use, source, now_ms)
+            self._add_reported(use, source, now_ms)
 
-    def _add_past(self, use: TokenUse, source: tuple[str, str], now_ms: float) -> None:
+    def _add_reported(
+        self, use: TokenUse, source: tuple[str, str], now_ms: float
+    ) -> None:
         account = self._organisations.get(use.organisation)
         if account is not None and account.window is not None:
             at_ms = now_ms - use.age_ms
-            account.window.add_past(use.tokens, at_ms, use.bound, source)
+            account.window.add_reported(use.tokens, at_ms, use.bound, source)
 
     def _windows(self) -> list[SlidingWindow]:
         accounts = self._organisations.values()
@@ -168,7 +173,7 @@
         parts = (window.guess_part(now_ms) for window in self._windows())
         return max(parts, default=0.0)
 
-    def guessed(self, now_ms: float) -> list[str]:
+    def guessed_organisations(self, now_ms: float) -> list[str]:
         """Return the organisations whose limits are judged by a guess."""
         return [
             name
@@ -176,7 +181,7 @@
             if account.window is not None and account.window.guess_part(now_ms) > 0
         ]
 
-    def take_uses(
+    def replace_reported(
         self, uses: Iterable[TokenUse], now_ms: float, *, guess_part: float = 0.0
     ) -> None:
         """Count what other schedulers let pass.
@@ -187,17 +192,19 @@
             guess_part: Part of limits that those who told it count by a guess.
         """
         for window in self._windows():
-            window.restart(guess_part)
+            window.clear_reported(guess_part)
         for use in uses:
-            self._add_past(use, use.source, now_ms)
+            self._add_reported(use, use.source, now_ms)
 
     def configure(self, tree: Tree) -> None:
         """Adopt a tree's limits; unchanged accounts keep their levels."""
-        self._found.clear()
+        self._accounts_by_tenant.clear()
         for name, team in tree.teams.items():
-            _adopt(self._teams, name, team.limits, self._share)
+            _configure_account(self._teams, name, team.limits, self._share)
         for name, organisation in tree.organisations.items():
-            _adopt(self._organisations, name, organisation.limits, self._share)
+            _configure_account(
+                self._organisations, name, organisation.limits, self._share
+            )
 
     def admit(self, handle: Handle, tokens: int, now_ms: float) -> Refusal | None:
         """Charge a request's rates, or say when they allow it.
@@ -210,7 +217,7 @@
         if handle.attempt > 0:
             return None
         accounts = self._accounts(handle)
-        judge = _known_over if handle.admitted else _over
+        judge = _refuse_readmitted if handle.admitted else _refuse_over_limit
         for account in accounts:
             refusal = judge(account, tokens, now_ms)
             if refusal is not None:
@@ -241,7 +248,7 @@
             return
         for account in self._accounts(handle):
             if account.window is not None:
-                account.window.passes(tokens, taken_ms, now_ms)
+                account.window.record_passed(tokens, taken_ms, now_ms)
 
     def correct(self, handle: Handle, tokens: int) -> None:
         """Charge tokens beyond the expected ones, or give some back."""
@@ -268,10 +275,10 @@
             if not handle.admitted:
                 _charge_rates(account, -1.0, -tokens)
 
-    def at_concurrency(self, handle: Handle) -> bool:
+    def is_at_concurrency_limit(self, handle: Handle) -> bool:
         """Tell whether one of the request's concurrency limits is reached."""
         accounts = self._accounts(handle)
-        return bool(accounts) and any(account.full() for account in accounts)
+        return bool(accounts) and any(account.is_full() for account in accounts)
 
     def started(self, handle: Handle) -> None:
         """Count a running request."""
@@ -285,22 +292,22 @@
 
     def _accounts(self, handle: Handle) -> tuple[_Account, ...]:
         key = (handle.organisation, handle.team)
-        accounts = self._found.get(key)
+        accounts = self._accounts_by_tenant.get(key)
         if accounts is None:
             found = (self._organisations.get(key[0]), self._teams.get(key[1]))
             accounts = tuple(account for account in found if account is not None)
-            self._found[key] = accounts
+            self._accounts_by_tenant[key] = accounts
         return accounts
 
 
-def _adopt(
+def _configure_account(
     accounts: dict[str, _Account], name: str, limits: Limits, share: float
 ) -> None:
     account = accounts.get(name)
     if account is None:
         accounts[name] = _Account(limits, share)
     elif account.limits != limits:
-        account.adopt(limits, share)
+        account.configure(limits, share)
 
 
 def _bucket(per_s: float, burst: float = 0.0) -> TokenBucket | None:
@@ -315,9 +322,9 @@
         account.tokens.take(tokens)
 
 
-def _known_over(account: _Account, tokens: int, now_ms: float) -> Refusal | None:
+def _refuse_readmitted(account: _Account, tokens: int, now_ms: float) -> Refusal | None:
     """Refuse what had room elsewhere only where too much is known to have passed."""
-    if account.window is None or not account.window.is_full_for(tokens, now_ms):
+    if account.window is None or not account.window.is_over_tolerance(tokens, now_ms):
         return None
     return _window_refusal(account.window, tokens, now_ms)
 
@@ -329,12 +336,12 @@
     wait_ms = window.wait_ms(tokens, now_ms)
     if wait_ms <= 0:
         return None
-    is_known = window.is_known_full_for(tokens, now_ms)
+    is_known = window.is_full_without_guess(tokens, now_ms)
     reason = Reason.TOKEN_LIMIT if is_known else Reason.LIMIT_GUESSED
     return Refusal(Outcome.NOT_RUN, reason, int(wait_ms) + 1)
 
 
-def _over(account: _Account, tokens: int, now_ms: float) -> Refusal | None:
+def _refuse_over_limit(account: _Account, tokens: int, now_ms: float) -> Refusal | None:
     if account.window is not None:
         refusal = _window_refusal(account.window, tokens, now_ms)
         if refusal is not None:
--- a/src/pomelolane/scheduler/objective/core.py
+++ b/src/pomelolane/scheduler/objective/core.py
@@ -10,7 +10,7 @@
 from pomelolane.outcomes import Outcome, Reason, Refusal
 from pomelolane.ports import Decision, Grant
 from pomelolane.registry import PLACEMENT_POLICIES, register
-from pomelolane.scheduler.limits import LimitBook
+from pomelolane.scheduler.limits import UsageLimiter
 from pomelolane.scheduler.objective.admission import Admission
 from pomelolane.scheduler.objective.fleet import Fleet, most_room
 from pomelolane.scheduler.objective.options import ObjectiveOptions
@@ -62,7 +62,7 @@
         self._service = service_name
         self._options = options
         self._fleet = Fleet(options)
-        self.limits = LimitBook()
+        self.limits = UsageLimiter()
         self.trial: VersionTrial | None = None
         self._waiting = WaitingRequests()
         self._admission = Admission(options, self._fleet)
@@ -109,7 +109,7 @@
 
     def limit_rates(self, share: float, now_ms: float) -> None:
         """Let only a share of organisations' rates pass."""
-        self.limits.scale(share, now_ms)
+        self.limits.set_share(share, now_ms)
 
     def hear_limit(
         self, endpoint_id: str, limit_per_s: float, heard_ms: float, now_ms: float
--- a/src/pomelolane/scheduler/rate_limiting.py
+++ b/src/pomelolane/scheduler/rate_limiting.py
@@ -84,14 +84,14 @@
         return self.service, self.scheduler
 
 
-class _Passed(NamedTuple):
+class _Entry(NamedTuple):
     """An amount that has passed, and what a span could hold then."""
 
     at_ms: float
     tokens: float
     bound: float
 
-    def counted(self, bound: float) -> float:
+    def scaled_tokens(self, bound: float) -> float:
         """Return what it counts for under a bound.
 
         Under a lower one it is the same part of it: else a lowered limit would refuse
@@ -122,11 +122,11 @@
         "_assumed_until_ms",
         "_bound",
         "_passed",
-        "_past",
-        "_promised",
+        "_reported",
+        "_retry_reservations",
         "_spare",
         "_unrecorded",
-        "_untold",
+        "_unreported",
         "_used",
         "_waiting",
         "_window_ms",
@@ -136,15 +136,15 @@
         self._bound = bound
         self._window_ms = window_ms
         self._spare = spare
-        self._waiting: list[_Passed] = []
-        self._passed: list[_Passed] = []
-        self._past: dict[tuple[str, str], list[_Passed]] = {}
-        self._promised: deque[tuple[float, float]] = deque()
+        self._waiting: list[_Entry] = []
+        self._passed: list[_Entry] = []
+        self._reported: dict[tuple[str, str], list[_Entry]] = {}
+        self._retry_reservations: deque[tuple[float, float]] = deque()
         self._assumed = 0.0
         self._assumed_part = 0.0
         self._assumed_until_ms = 0.0
         self._unrecorded = 0.0
-        self._untold = 0.0
+        self._unreported = 0.0
         self._used = 0.0
 
     def assume_used(self, spare_part: float, now_ms: float) -> None:
@@ -158,14 +158,14 @@
         self._assumed_part = 1.0
         self._assumed_until_ms = now_ms + self._window_ms
 
-    def restart(self, guess_part: float = 0.0) -> None:
+    def clear_reported(self, guess_part: float = 0.0) -> None:
         """Forget what others let pass, but a part of the guess: some is unrecorded.
 
         Args:
             guess_part: Part of the bound that those who tell it anew count by a guess.
         """
-        self._past.clear()
-        self._count()
+        self._reported.clear()
+        self._recount()
         part = max(_UNRECORDED_PART, guess_part)
         if part < self._assumed_part:
             self._assumed *= part / self._assumed_part
@@ -173,12 +173,12 @@
 
     def guess_part(self, now_ms: float) -> float:
         """Return the part of the bound that is counted as used by a guess."""
-        self._forget(now_ms)
+        self._drop_expired(now_ms)
         return self._assumed_part if self._assumed > 0 else 0.0
 
-    def is_known_full_for(self, amount: float, now_ms: float) -> bool:
+    def is_full_without_guess(self, amount: float, now_ms: float) -> bool:
         """Tell whether an amount has no room by what is known to have passed."""
-        self._forget(now_ms)
+        self._drop_expired(now_ms)
         return self._used + min(amount, self._bound) > self._bound
 
     def unrecorded_share(self) -> float:
@@ -188,18 +188,18 @@
         """
         return self._share_of(self._unrecorded)
 
-    def untold_share(self) -> float:
+    def unreported_share(self) -> float:
         """Return the same of the tokens since the last news."""
-        return self._share_of(self._untold)
+        return self._share_of(self._unreported)
 
     def _share_of(self, tokens: float) -> float:
         allowed = self._spare or self._bound
         return tokens / allowed if allowed > 0 else 1.0
 
-    def take_news(self) -> tuple[int, int]:
+    def take_unreported(self) -> tuple[int, int]:
         """Return the tokens since the last news, and the bound; they are told then."""
-        tokens = round(self._untold)
-        self._untold = 0.0
+        tokens = round(self._unreported)
+        self._unreported = 0.0
         return tokens, round(self._bound)
 
     def mark_recorded(self) -> None:
@@ -208,7 +208,7 @@
 
     def uses(self, organisation: str, now_ms: float) -> list[TokenUse]:
         """Return what this scheduler let pass, summed up by steps of its age."""
-        self._forget(now_ms)
+        self._drop_expired(now_ms)
         sums: dict[tuple[int, int], float] = {}
         for at_ms, tokens, bound in self._passed:
             age_ms = int((now_ms - at_ms) // _USE_STEP_MS) * _USE_STEP_MS
@@ -219,7 +219,7 @@
             for (age_ms, bound), total in sums.items()
         ]
 
-    def add_past(
+    def add_reported(
         self,
         amount: float,
         at_ms: float,
@@ -234,102 +234,102 @@
             bound: What a span could hold there, 0 for as much as here.
             source: Whose account it is from.
         """
-        passed = _Passed(at_ms, amount, bound or self._bound)
-        self._add(self._past.setdefault(source, []), passed)
+        passed = _Entry(at_ms, amount, bound or self._bound)
+        self._add_entry(self._reported.setdefault(source, []), passed)
 
-    def forget_past(self, source: tuple[str, str]) -> None:
+    def drop_reported(self, source: tuple[str, str]) -> None:
         """Drop what one account held: all of it is told anew."""
-        if self._past.pop(source, None):
-            self._count()
+        if self._reported.pop(source, None):
+            self._recount()
 
-    def adopt(self, bound: float, spare: float) -> None:
+    def configure(self, bound: float, spare: float) -> None:
         """Go on under another bound."""
         if 0 < bound < self._bound:
             self._assumed *= bound / self._bound
         self._bound = bound
         self._spare = spare
-        self._count()
+        self._recount()
 
     def wait_ms(self, amount: float, now_ms: float) -> float:
         """Return how long until an amount may pass, 0 for now.
 
         Those who are told to come back get room one after the other.
         """
-        self._forget(now_ms)
+        self._drop_expired(now_ms)
         over = self._used + self._assumed + min(amount, self._bound) - self._bound
         if over <= 0:
             return 0.0
-        while self._promised and self._promised[0][0] <= now_ms:
-            self._promised.popleft()
-        over += sum(promised for _, promised in self._promised)
+        while self._retry_reservations and self._retry_reservations[0][0] <= now_ms:
+            self._retry_reservations.popleft()
+        over += sum(promised for _, promised in self._retry_reservations)
         wait_ms = self._window_ms
-        for passed in merge(*self._past.values(), self._passed, self._waiting):
-            over -= passed.counted(self._bound)
+        for passed in merge(*self._reported.values(), self._passed, self._waiting):
+            over -= passed.scaled_tokens(self._bound)
             if over <= 0:
                 wait_ms = max(1.0, passed.at_ms + self._window_ms - now_ms)
                 break
-        self._promised.append((now_ms + wait_ms, amount))
+        self._retry_reservations.append((now_ms + wait_ms, amount))
         return wait_ms
 
-    def is_full_for(self, amount: float, now_ms: float) -> bool:
+    def is_over_tolerance(self, amount: float, now_ms: float) -> bool:
         """Tell whether an amount is too much by what is known to have passed.
 
         A guess does not count, and a part of what is allowed beside the bound is kept
         for amounts that had room under another scheduler.
         """
-        self._forget(now_ms)
+        self._drop_expired(now_ms)
         most = self._bound + _MOVED_PART * self._spare
         return self._used + amount > most
 
     def take(self, amount: float, now_ms: float) -> None:
         """Keep room for an amount that waits to pass."""
-        self._add(self._waiting, _Passed(now_ms, amount, self._bound))
+        self._add_entry(self._waiting, _Entry(now_ms, amount, self._bound))
 
     def give_back(self, amount: float, taken_ms: float) -> None:
         """Undo an amount that was taken, or has passed, at a time."""
-        if not self._remove(self._waiting, amount, taken_ms) and self._remove(
-            self._passed, amount, taken_ms
-        ):
-            self._untold -= amount
+        if not self._remove_entry(
+            self._waiting, amount, taken_ms
+        ) and self._remove_entry(self._passed, amount, taken_ms):
+            self._unreported -= amount
 
-    def passes(self, amount: float, taken_ms: float, now_ms: float) -> None:
+    def record_passed(self, amount: float, taken_ms: float, now_ms: float) -> None:
         """Let an amount pass for which room was kept since a time.
 
         It counts from now on, here and for all who are told: whoever lets it pass
         counts it, whatever became of it before.
         """
-        self._remove(self._waiting, amount, taken_ms)
-        self._add(self._passed, _Passed(now_ms, amount, self._bound))
+        self._remove_entry(self._waiting, amount, taken_ms)
+        self._add_entry(self._passed, _Entry(now_ms, amount, self._bound))
         self._unrecorded += amount
-        self._untold += amount
+        self._unreported += amount
 
-    def _remove(self, uses: list[_Passed], amount: float, taken_ms: float) -> bool:
+    def _remove_entry(self, uses: list[_Entry], amount: float, taken_ms: float) -> bool:
         """Remove an amount, unless it counts no more."""
         first = bisect_left(uses, (taken_ms, amount))
         if first == len(uses) or uses[first][:2] != (taken_ms, amount):
             return False
-        self._used -= uses.pop(first).counted(self._bound)
+        self._used -= uses.pop(first).scaled_tokens(self._bound)
         return True
 
-    def _add(self, uses: list[_Passed], passed: _Passed) -> None:
+    def _add_entry(self, uses: list[_Entry], passed: _Entry) -> None:
         insort(uses, passed)
-        self._used += passed.counted(self._bound)
+        self._used += passed.scaled_tokens(self._bound)
 
-    def _count(self) -> None:
+    def _recount(self) -> None:
         """Count anew all that has passed, under the present bound."""
-        passed = chain(self._waiting, self._passed, *self._past.values())
-        self._used = sum(one.counted(self._bound) for one in passed)
+        passed = chain(self._waiting, self._passed, *self._reported.values())
+        self._used = sum(one.scaled_tokens(self._bound) for one in passed)
 
-    def _forget(self, now_ms: float) -> None:
+    def _drop_expired(self, now_ms: float) -> None:
         if now_ms >= self._assumed_until_ms:
             self._assumed = self._assumed_part = 0.0
         oldest_ms = now_ms - self._window_ms
-        for uses in (self._waiting, self._passed, *self._past.values()):
+        for uses in (self._waiting, self._passed, *self._reported.values()):
             old = bisect_right(uses, (oldest_ms, float("inf")))
-            self._used -= sum(one.counted(self._bound) for one in uses[:old])
+            self._used -= sum(one.scaled_tokens(self._bound) for one in uses[:old])
             del uses[:old]
-        for source in [name for name, uses in self._past.items() if not uses]:
-            del self._past[source]
-        if not self._waiting and not self._passed and not self._past:
+        for source in [name for name, uses in self._reported.items() if not uses]:
+            del self._reported[source]
+        if not self._waiting and not self._passed and not self._reported:
             # No rounding is carried on.
             self._used = 0.0
--- a/tests/steps/objective_steps.py
+++ b/tests/steps/objective_steps.py
@@ -216,12 +216,12 @@
 def step_take(context, tokens, ms):
     assert context.window.wait_ms(tokens, ms) == 0
     context.window.take(tokens, ms)
-    context.window.passes(tokens, ms, ms)
+    context.window.record_passed(tokens, ms, ms)
 
 
 @when("the bound becomes {bound:d}")
 def step_bound(context, bound):
-    context.window.adopt(bound, 0.0)
+    context.window.configure(bound, 0.0)
 
 
 @when("it is guessed to be used at {ms:d} ms")
@@ -231,13 +231,13 @@
 
 @when("the record of {tokens:d} tokens at {ms:d} ms is taken")
 def step_record(context, tokens, ms):
-    context.window.restart()
-    context.window.add_past(tokens, ms)
+    context.window.clear_reported()
+    context.window.add_reported(tokens, ms)
 
 
 @when("{tokens:d} tokens passed elsewhere at {ms:d} ms, where {bound:d} were the bound")
 def step_passed_elsewhere(context, tokens, ms, bound):
-    context.window.add_past(tokens, ms, bound)
+    context.window.add_reported(tokens, ms, bound)
 
 
 @then("{tokens:d} tokens must wait {wait_ms:d} ms at {ms:d} ms")
