--- a/src/pomelolane/scheduler/accounting.py
+++ b/src/pomelolane/scheduler/accounting.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
+class RunningRequest:
     """One dispatched request.
 
     Attributes:
@@ -83,7 +83,7 @@
 
     def __init__(self, endpoint: Endpoint, *, learn_speeds: bool = True) -> None:
         self.endpoint = endpoint
-        self.flights: dict[str, Flight] = {}
+        self.running: dict[str, RunningRequest] = {}
         self.leaving = endpoint.leaving
         self.kv_used_tokens = 0
         self.prefill_tokens_ahead = 0
@@ -106,19 +106,19 @@
         """Whether reports speak of load that is not ours."""
         return self._foreign > 0
 
-    def declare(self, endpoint: Endpoint) -> None:
+    def update_declaration(self, endpoint: Endpoint) -> None:
         """Adopt a new declaration."""
         self.endpoint = endpoint
-        self.use_share(self._slot_share)
+        self.set_slot_share(self._slot_share)
 
-    def use_share(self, share: float) -> None:
+    def set_slot_share(self, share: float) -> None:
         """Use a share of the slots, of one at least."""
         self._slot_share = share
         self.slots = max(1, int(self.endpoint.slots * share))
 
     def free_slots(self, now_ms: float) -> int:
         """Return slots neither used by own flights nor reported as used."""
-        free = self.slots - len(self.flights)
+        free = self.slots - len(self.running)
         if not self._foreign:
             return free
         return free - round(self._foreign_load(now_ms))
@@ -140,45 +140,47 @@
         """Predict the times of a prompt and of each token after it."""
         return prefill_tokens / self.prefill_per_ms, 1.0 / self.decode_per_ms
 
-    def own_first_token_ms(self, prefill_tokens: int) -> float:
+    def unqueued_first_token_ms(self, prefill_tokens: int) -> float:
         """Predict the time to the first token with nothing ahead."""
         return prefill_tokens / self.prefill_per_ms + 1.0 / self.decode_per_ms
 
     def slot_wait_ms(self, now_ms: float) -> float:
         """Predict when a slot is free and the prompts ahead are done."""
         wait_ms = self.prefill_ahead_ms(now_ms)
-        if self.free_slots(now_ms) > 0 or not self.flights:
+        if self.free_slots(now_ms) > 0 or not self.running:
             return wait_ms
-        first_end_ms = min(f.expected_end_ms for f in self.flights.values())
+        first_end_ms = min(f.expected_end_ms for f in self.running.values())
         return max(wait_ms, first_end_ms - now_ms)
 
-    def add(self, flight: Flight, now_ms: float) -> None:
+    def add(self, request: RunningRequest, now_ms: float) -> None:
         """Account for a grant."""
-        self.flights[flight.handle.request_id] = flight
-        self.kv_used_tokens += flight.kv_tokens
-        self._note_count(now_ms)
-        if flight.started:
+        self.running[request.handle.request_id] = request
+        self.kv_used_tokens += request.kv_tokens
+        self._record_count(now_ms)
+        if request.started:
             return
-        self.prefill_tokens_ahead += flight.prefill_tokens
-        work_ms = flight.prefill_tokens / self.prefill_per_ms
+        self.prefill_tokens_ahead += request.prefill_tokens
+        work_ms = request.prefill_tokens / self.prefill_per_ms
         self.prefill_free_ms = max(now_ms, self.prefill_free_ms) + work_ms
 
-    def observe(self, flight: Flight, event: StreamEvent, now_ms: float) -> None:
+    def observe(
+        self, request: RunningRequest, event: StreamEvent, now_ms: float
+    ) -> None:
         """Learn from a stream event of a flight."""
-        if event.ttft_ms >= 0 and not flight.started:
-            self._first_token(flight, event, now_ms)
+        if event.ttft_ms >= 0 and not request.started:
+            self._record_first_token(request, event, now_ms)
         if event.tokens > 0:
-            self._tokens(flight, event)
-        if flight.prefill_ms > 0 and _is_prefill_known(flight, event):
-            self._learn_prefill(flight, event)
+            self._record_tokens(request, event)
+        if request.prefill_ms > 0 and _is_prefill_known(request, event):
+            self._learn_prefill(request, event)
 
-    def remove(self, flight: Flight, now_ms: float) -> None:
+    def remove(self, request: RunningRequest, now_ms: float) -> None:
         """Free what a flight held."""
-        del self.flights[flight.handle.request_id]
-        self.kv_used_tokens -= flight.kv_tokens
-        self._note_count(now_ms)
-        if not flight.started:
-            self._prefill_done(flight, now_ms)
+        del self.running[request.handle.request_id]
+        self.kv_used_tokens -= request.kv_tokens
+        self._record_count(now_ms)
+        if not request.started:
+            self._finish_prefill(request, now_ms)
 
     def correct(self, report: LoadReport, now_ms: float) -> None:
         """Take in a lagging report: only load beyond our own counts.
@@ -197,42 +199,44 @@
         age_ms = now_ms - self._foreign_at_ms
         return self._foreign * 0.5 ** (age_ms / _FOREIGN_HALF_LIFE_MS)
 
-    def _first_token(self, flight: Flight, event: StreamEvent, now_ms: float) -> None:
-        flight.started = True
-        first_ms = flight.granted_ms + event.ttft_ms
-        begun_ms = max(flight.granted_ms, self.last_first_token_ms)
-        flight.prefill_ms = first_ms - begun_ms - 1.0 / self.decode_per_ms
+    def _record_first_token(
+        self, request: RunningRequest, event: StreamEvent, now_ms: float
+    ) -> None:
+        request.started = True
+        first_ms = request.granted_ms + event.ttft_ms
+        begun_ms = max(request.granted_ms, self.last_first_token_ms)
+        request.prefill_ms = first_ms - begun_ms - 1.0 / self.decode_per_ms
         self.last_first_token_ms = max(first_ms, self.last_first_token_ms)
-        self._prefill_done(flight, now_ms)
-        flight.expected_end_ms = now_ms + flight.decode_tokens / self.decode_per_ms
+        self._finish_prefill(request, now_ms)
+        request.expected_end_ms = now_ms + request.decode_tokens / self.decode_per_ms
 
-    def _learn_prefill(self, flight: Flight, event: StreamEvent) -> None:
-        tokens = flight.prefill_tokens
+    def _learn_prefill(self, request: RunningRequest, event: StreamEvent) -> None:
+        tokens = request.prefill_tokens
         if event.cached_tokens >= 0:
-            tokens = flight.handle.prefill_tokens - event.cached_tokens
+            tokens = request.handle.prefill_tokens - event.cached_tokens
         if self._learn_speeds and tokens > 0:
-            self._prefill.add(tokens, flight.prefill_ms)
+            self._prefill.add(tokens, request.prefill_ms)
             self.prefill_per_ms = max(_MIN_SPEED_PER_MS, self._prefill.per_ms)
-        flight.prefill_ms = -1.0
+        request.prefill_ms = -1.0
 
-    def _tokens(self, flight: Flight, event: StreamEvent) -> None:
-        seen_tokens = flight.decoded_tokens + event.tokens
-        if seen_tokens > flight.decode_tokens:
-            planned_tokens = max(flight.decode_tokens, flight.decoded_tokens)
+    def _record_tokens(self, request: RunningRequest, event: StreamEvent) -> None:
+        seen_tokens = request.decoded_tokens + event.tokens
+        if seen_tokens > request.decode_tokens:
+            planned_tokens = max(request.decode_tokens, request.decoded_tokens)
             self.kv_used_tokens += seen_tokens - planned_tokens
-        flight.decoded_tokens = seen_tokens
+        request.decoded_tokens = seen_tokens
         if self._learn_speeds and event.elapsed_ms > 0:
             self._decode.add(event.tokens, event.elapsed_ms)
             self.decode_per_ms = max(_MIN_SPEED_PER_MS, self._decode.per_ms)
 
-    def _prefill_done(self, flight: Flight, now_ms: float) -> None:
-        self.prefill_tokens_ahead -= flight.prefill_tokens
+    def _finish_prefill(self, request: RunningRequest, now_ms: float) -> None:
+        self.prefill_tokens_ahead -= request.prefill_tokens
         work_ms = self.prefill_tokens_ahead / self.prefill_per_ms
         self.prefill_free_ms = now_ms + work_ms
 
-    def _note_count(self, now_ms: float) -> None:
+    def _record_count(self, now_ms: float) -> None:
         self._history_ms.append(now_ms)
-        self._history_count.append(len(self.flights))
+        self._history_count.append(len(self.running))
         if len(self._history_ms) > 2 * _HISTORY_LENGTH:
             del self._history_ms[:_HISTORY_LENGTH]
             del self._history_count[:_HISTORY_LENGTH]
@@ -269,7 +273,7 @@
         """Predict the time of a call as that of a prompt without tokens."""
         return self.service_ms(prefill_tokens, 0), 0.0
 
-    def own_first_token_ms(self, prefill_tokens: int) -> float:
+    def unqueued_first_token_ms(self, prefill_tokens: int) -> float:
         """Predict the time to the answer."""
         return self.service_ms(prefill_tokens, 0)
 
@@ -278,11 +282,13 @@
         del now_ms
         return 0.0
 
-    def observe(self, flight: Flight, event: StreamEvent, now_ms: float) -> None:
+    def observe(
+        self, request: RunningRequest, event: StreamEvent, now_ms: float
+    ) -> None:
         """Learn a call's time from its first answer byte."""
-        if event.ttft_ms >= 0 and not flight.started:
-            flight.started = True
-            self._prefill_done(flight, now_ms)
+        if event.ttft_ms >= 0 and not request.started:
+            request.started = True
+            self._finish_prefill(request, now_ms)
             self.last_first_token_ms = now_ms
             if self._learn_speeds:
                 self._calls.add(1.0, max(0.1, event.ttft_ms))
@@ -298,7 +304,7 @@
     return EndpointState(endpoint, learn_speeds=learn_speeds)
 
 
-def _is_prefill_known(flight: Flight, event: StreamEvent) -> bool:
+def _is_prefill_known(request: RunningRequest, event: StreamEvent) -> bool:
     """Tell whether it is known how much of a prompt was processed.
 
     Engines tell how much was cached with the first token or at the end; until
@@ -306,7 +312,7 @@
     """
     if event.cached_tokens >= 0 or event.finished:
         return True
-    return not flight.handle.prefix_hashes
+    return not request.handle.prefix_hashes
 
 
 def _speed(tokens_per_s: float) -> DecayingRate:
--- a/src/pomelolane/scheduler/admission.py
+++ b/src/pomelolane/scheduler/admission.py
@@ -19,18 +19,18 @@
     from pomelolane.scheduler.fleet import Fleet
     from pomelolane.scheduler.options import CoreOptions
     from pomelolane.scheduler.queue import FairQueue
-    from pomelolane.scheduler.waiting import Waiting
+    from pomelolane.scheduler.waiting import WaitingRequest
 
 _MIN_RETRY_MS = 100
 _MAX_RETRY_MS = 60_000
-_DRAIN_STEP = 0.1
-_DRAIN_MIN = 0.3
-_DRAIN_MAX = 3.0
-_DRAIN_LEARN_MS = 200.0
-_LEARN_EVERY = 8
+_CORRECTION_STEP = 0.1
+_MIN_CORRECTION = 0.3
+_MAX_CORRECTION = 3.0
+_MIN_SAMPLE_WAIT_MS = 200.0
+_WAIT_SAMPLE_INTERVAL = 8
 
 
-class DrainRate:
+class WaitCorrection:
     """How much longer a queue takes than speeds and slots alone suggest."""
 
     def __init__(self) -> None:
@@ -42,15 +42,15 @@
 
     def learn(self, rank: int, predicted_ms: float, waited_ms: float) -> None:
         """Compare the plain prediction of a wait with what came of it."""
-        if predicted_ms < _DRAIN_LEARN_MS:
+        if predicted_ms < _MIN_SAMPLE_WAIT_MS:
             return
-        sample = min(_DRAIN_MAX, max(_DRAIN_MIN, waited_ms / predicted_ms))
+        sample = min(_MAX_CORRECTION, max(_MIN_CORRECTION, waited_ms / predicted_ms))
         factor = self.factor(rank)
-        self._factors[rank] = factor + _DRAIN_STEP * (sample - factor)
+        self._factors[rank] = factor + _CORRECTION_STEP * (sample - factor)
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class AdmissionResult:
     """What is to be done with a request that wants to wait.
 
     Attributes:
@@ -60,7 +60,7 @@
     """
 
     refusal: Refusal | None = None
-    displaced: Waiting | None = None
+    displaced: WaitingRequest | None = None
     predicted_wait_ms: float = 0.0
 
 
@@ -81,32 +81,32 @@
         prefixes: PrefixIndex,
         options: CoreOptions,
     ) -> None:
-        self.drain = DrainRate()
+        self.wait_correction = WaitCorrection()
         self.queue_limit = 1000
         self.lowest_tier_rank = 0
-        self._turn = 0
+        self._wait_sample_turn = 0
         self._fleet = fleet
         self._queue = queue
         self._prefixes = prefixes
         self._options = options
 
-    def admit(self, waiting: Waiting, now_ms: float) -> Verdict:
+    def admit(self, waiting: WaitingRequest, now_ms: float) -> AdmissionResult:
         """Decide on a new request."""
-        refusal = self._impossible(waiting, now_ms)
+        refusal = self._refuse_impossible(waiting, now_ms)
         if refusal is not None:
-            return Verdict(refusal)
+            return AdmissionResult(refusal)
         rank = waiting.handle.tier_rank
         predicted_ms = self._predicted_wait_ms(waiting, now_ms)
-        wait_ms = predicted_ms * self.drain.factor(rank)
-        if self._too_late_after(waiting, wait_ms, now_ms):
+        wait_ms = predicted_ms * self.wait_correction.factor(rank)
+        if self._misses_deadline_after(waiting, wait_ms, now_ms):
             retry_ms = self._retry_after_ms(rank, now_ms)
             late = Refusal(Outcome.NOT_RUN, Reason.DEADLINE_UNREACHABLE, retry_ms)
-            return Verdict(late)
+            return AdmissionResult(late)
         if len(self._queue) < self.queue_limit:
-            return Verdict(predicted_wait_ms=predicted_ms)
-        return self._make_place(waiting, predicted_ms, now_ms)
+            return AdmissionResult(predicted_wait_ms=predicted_ms)
+        return self._displace_or_refuse(waiting, predicted_ms, now_ms)
 
-    def predict_latest(self, waiting: Waiting, now_ms: float) -> None:
+    def predict_latest_start(self, waiting: WaitingRequest, now_ms: float) -> None:
         """Predict until when a request can begin and still be in time.
 
         A new request is refused when a middling answer would be late. One that
@@ -115,19 +115,19 @@
         said to have taken its place.
         """
         waiting.last_start_ms = waiting.deadline_ms
-        waiting.middle_start_ms = waiting.deadline_ms
+        waiting.typical_start_ms = waiting.deadline_ms
         waiting.safe_start_ms = waiting.deadline_ms
         if not self._options.refuse_unreachable:
             return
         factor = self._options.safety_factor
-        short_ms, middle_ms, long_ms = self._best_service_ms(waiting, now_ms)
+        short_ms, typical_ms, long_ms = self._best_service_ms(waiting, now_ms)
         waiting.last_start_ms -= short_ms
-        waiting.middle_start_ms -= middle_ms * factor
+        waiting.typical_start_ms -= typical_ms * factor
         waiting.safe_start_ms -= needed_ms(
-            middle_ms * factor, long_ms * factor, waiting.handle.budget_ms
+            typical_ms * factor, long_ms * factor, waiting.handle.budget_ms
         )
 
-    def expired(self, waiting: Waiting, now_ms: float) -> Refusal:
+    def expired_refusal(self, waiting: WaitingRequest, now_ms: float) -> Refusal:
         """Return the refusal of a request that cannot be in time any more."""
         reason = Reason.DEADLINE_UNREACHABLE
         if now_ms >= waiting.deadline_ms:
@@ -137,55 +137,59 @@
         rank = waiting.handle.tier_rank
         return Refusal(Outcome.NOT_RUN, reason, self._retry_after_ms(rank, now_ms))
 
-    def displacement(self, rank: int, now_ms: float) -> Refusal:
+    def displaced_refusal(self, rank: int, now_ms: float) -> Refusal:
         """Return the refusal of a request that gives its place."""
         retry_ms = self._retry_after_ms(rank, now_ms)
         return Refusal(Outcome.NOT_RUN, Reason.DISPLACED, retry_ms)
 
-    def _impossible(self, waiting: Waiting, now_ms: float) -> Refusal | None:
+    def _refuse_impossible(
+        self, waiting: WaitingRequest, now_ms: float
+    ) -> Refusal | None:
         """Refuse what no endpoint could do in time even with nothing ahead."""
         handle = waiting.handle
-        if not self._some_endpoint(waiting):
+        if not self._has_usable_endpoint(waiting):
             retry_ms = int(self._fleet.retry_ms(now_ms)) or _MIN_RETRY_MS
             return Refusal(Outcome.NOT_RUN, Reason.NO_ENDPOINT, retry_ms)
         if handle.budget_ms <= 0:
             return Refusal(Outcome.NOT_RUN, Reason.DEADLINE_PASSED)
-        self.predict_latest(waiting, now_ms)
-        if now_ms > waiting.middle_start_ms:
+        self.predict_latest_start(waiting, now_ms)
+        if now_ms > waiting.typical_start_ms:
             return Refusal(Outcome.NOT_RUN, Reason.DEADLINE_UNREACHABLE)
         return None
 
-    def _some_endpoint(self, waiting: Waiting) -> bool:
-        if not self._fleet.holds_memory(waiting.cost_tokens):
+    def _has_usable_endpoint(self, waiting: WaitingRequest) -> bool:
+        if not self._fleet.has_kv_capacity(waiting.cost_tokens):
             return False
         excluded = waiting.handle.excluded
         if not excluded and self._fleet.ready_count() > 0:
             return True
-        return self._fleet.eligible(excluded)
+        return self._fleet.has_eligible(excluded)
 
     def _best_service_ms(
-        self, waiting: Waiting, now_ms: float
+        self, waiting: WaitingRequest, now_ms: float
     ) -> tuple[float, float, float]:
         """Return the shortest times of a short, a middling and a long answer."""
         prefill = waiting.handle.prefill_tokens
         fastest = self._fleet.summary(now_ms).fastest
         candidates = [(account, prefill) for account in fastest]
-        candidates += self._with_prefix(waiting)
+        candidates += self._endpoints_with_prefix(waiting)
         if not candidates:
             return 0.0, 0.0, 0.0
-        short_ms = middle_ms = long_ms = math.inf
+        short_ms = typical_ms = long_ms = math.inf
         for account, rest in candidates:
             prompt_ms, token_ms = account.phases_ms(rest)
             # Comparisons instead of min(), which costs a call each.
             one_ms = prompt_ms + waiting.short_decode_tokens * token_ms
             short_ms = one_ms if one_ms < short_ms else short_ms
             one_ms = prompt_ms + waiting.decode_tokens * token_ms
-            middle_ms = one_ms if one_ms < middle_ms else middle_ms
+            typical_ms = one_ms if one_ms < typical_ms else typical_ms
             one_ms = prompt_ms + waiting.long_decode_tokens * token_ms
             long_ms = one_ms if one_ms < long_ms else long_ms
-        return short_ms, middle_ms, long_ms
+        return short_ms, typical_ms, long_ms
 
-    def _with_prefix(self, waiting: Waiting) -> list[tuple[EndpointState, int]]:
+    def _endpoints_with_prefix(
+        self, waiting: WaitingRequest
+    ) -> list[tuple[EndpointState, int]]:
         """Return endpoints that hold a prefix, with what they need not skip."""
         hashes = waiting.handle.prefix_hashes
         if not self._options.affinity or not hashes:
@@ -200,18 +204,22 @@
             found.append((worker.account, rest))
         return found
 
-    def _predicted_wait_ms(self, waiting: Waiting, now_ms: float) -> float:
+    def _predicted_wait_ms(self, waiting: WaitingRequest, now_ms: float) -> float:
         """Predict a wait; of the higher tiers only now and then, to learn from."""
         if not len(self._queue):
             return 0.0
         if waiting.handle.tier_rank < self.lowest_tier_rank:
-            self._turn = (self._turn + 1) % _LEARN_EVERY
-            if self._turn:
+            self._wait_sample_turn = (
+                self._wait_sample_turn + 1
+            ) % _WAIT_SAMPLE_INTERVAL
+            if self._wait_sample_turn:
                 return 0.0
         backlog = self._queue.backlog_ahead(waiting.handle, waiting.deadline_ms)
         return self._fleet.summary(now_ms).drain_ms(backlog)
 
-    def _too_late_after(self, waiting: Waiting, wait_ms: float, now_ms: float) -> bool:
+    def _misses_deadline_after(
+        self, waiting: WaitingRequest, wait_ms: float, now_ms: float
+    ) -> bool:
         """Tell whether the queue ahead rules the deadline out.
 
         The prediction refuses work of the lowest tier only: if it was wrong,
@@ -224,21 +232,21 @@
         slack_ms = waiting.safe_start_ms - now_ms
         return wait_ms > slack_ms * self._options.predict_wait_margin
 
-    def _make_place(
-        self, waiting: Waiting, predicted_ms: float, now_ms: float
-    ) -> Verdict:
+    def _displace_or_refuse(
+        self, waiting: WaitingRequest, predicted_ms: float, now_ms: float
+    ) -> AdmissionResult:
         """Find whom a new request displaces from a full queue."""
         rank = waiting.handle.tier_rank
         lowest = self._queue.lowest_rank()
         victim = None
         if lowest > rank:
-            victim = self._queue.youngest(lowest)
+            victim = self._queue.newest(lowest)
         elif lowest == rank and self._options.fair_shares:
-            victim = self._queue.youngest_over_share(waiting.handle)
+            victim = self._queue.newest_over_share(waiting.handle)
         if victim is not None:
-            return Verdict(displaced=victim, predicted_wait_ms=predicted_ms)
+            return AdmissionResult(displaced=victim, predicted_wait_ms=predicted_ms)
         retry_ms = self._retry_after_ms(rank, now_ms)
-        return Verdict(Refusal(Outcome.NOT_RUN, Reason.QUEUE_FULL, retry_ms))
+        return AdmissionResult(Refusal(Outcome.NOT_RUN, Reason.QUEUE_FULL, retry_ms))
 
     def _retry_after_ms(self, rank: int, now_ms: float) -> int:
         """Return when what waits at a tier and above should be gone."""
@@ -247,5 +255,5 @@
         else:
             backlog = self._queue.backlog(rank)
             wait_ms = self._fleet.summary(now_ms).drain_ms(backlog)
-            wait_ms *= self.drain.factor(rank)
+            wait_ms *= self.wait_correction.factor(rank)
         return int(min(_MAX_RETRY_MS, max(_MIN_RETRY_MS, wait_ms)))
--- a/src/pomelolane/scheduler/affinity.py
+++ b/src/pomelolane/scheduler/affinity.py
@@ -22,7 +22,7 @@
 _NO_HOLDERS: frozenset[str] = frozenset()
 
 
-class _Record:
+class _EndpointRecord:
     """Blocks of one engine, least recently used first."""
 
     __slots__ = ("blocks", "capacity", "confidence", "sequence")
@@ -38,7 +38,7 @@
     """Prefix blocks by endpoint and endpoints by prefix block."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _EndpointRecord] = {}
         self._holders: dict[int, set[str]] = {}
 
     def add_endpoint(self, endpoint_id: str, kv_tokens: int) -> None:
@@ -46,7 +46,7 @@
         capacity = kv_tokens // BLOCK_TOKENS
         record = self._records.get(endpoint_id)
         if record is None:
-            self._records[endpoint_id] = _Record(capacity)
+            self._records[endpoint_id] = _EndpointRecord(capacity)
         else:
             record.capacity = capacity
 
@@ -75,7 +75,7 @@
         depth = _depth(record, hashes)
         return int(depth * BLOCK_TOKENS * record.confidence)
 
-    def sent(
+    def record_sent(
         self,
         endpoint_id: str,
         hashes: Sequence[int],
@@ -93,7 +93,7 @@
             oldest = next(iter(record.blocks))
             self._evict(endpoint_id, record, oldest)
 
-    def answered(self, endpoint_id: str, expected: int, cached: int) -> None:
+    def record_cache_hit(self, endpoint_id: str, expected: int, cached: int) -> None:
         """Take in how many prompt tokens the engine really had."""
         record = self._records.get(endpoint_id)
         if record is None or expected <= 0:
@@ -101,7 +101,7 @@
         truth = min(1.0, cached / expected * record.confidence)
         record.confidence += _CONFIDENCE_STEP * (truth - record.confidence)
 
-    def correct(self, event: CacheEvent, now_ms: float) -> None:
+    def apply_event(self, event: CacheEvent, now_ms: float) -> None:
         """Take in a cache event; a jump in its numbers lowers confidence."""
         record = self._records.get(event.endpoint_id)
         if record is None:
@@ -117,7 +117,7 @@
             self._evict(event.endpoint_id, record, event.prefix_hash)
 
     def _store(
-        self, endpoint_id: str, record: _Record, block: int, now_ms: float
+        self, endpoint_id: str, record: _EndpointRecord, block: int, now_ms: float
     ) -> None:
         record.blocks[block] = now_ms
         record.blocks.move_to_end(block)
@@ -127,7 +127,7 @@
         else:
             holders.add(endpoint_id)
 
-    def _evict(self, endpoint_id: str, record: _Record, block: int) -> None:
+    def _evict(self, endpoint_id: str, record: _EndpointRecord, block: int) -> None:
         del record.blocks[block]
         self._drop_holder(block, endpoint_id)
 
@@ -140,7 +140,7 @@
             del self._holders[block]
 
 
-def _depth(record: _Record, hashes: Sequence[int]) -> int:
+def _depth(record: _EndpointRecord, hashes: Sequence[int]) -> int:
     """Return how many leading blocks a record holds, by bisection."""
     blocks = record.blocks
     low, high = 0, len(hashes)
--- a/src/pomelolane/scheduler/core.py
+++ b/src/pomelolane/scheduler/core.py
@@ -17,17 +17,17 @@
 from pomelolane.registry import PLACEMENT_POLICIES, register
 from pomelolane.scheduler.admission import Admission
 from pomelolane.scheduler.affinity import PrefixIndex
-from pomelolane.scheduler.chances import Chances
 from pomelolane.scheduler.estimate import AnswerLengths
 from pomelolane.scheduler.figures import figures_of_worker
 from pomelolane.scheduler.fleet import Fleet
-from pomelolane.scheduler.flights import FlightBook, FlightParts
 from pomelolane.scheduler.limits import UsageLimiter
 from pomelolane.scheduler.options import CoreOptions
+from pomelolane.scheduler.out_of_order import OutOfOrderSelector
 from pomelolane.scheduler.placement import Placer
 from pomelolane.scheduler.queue import FairQueue
 from pomelolane.scheduler.reserve import Reserve
-from pomelolane.scheduler.waiting import Waiting
+from pomelolane.scheduler.running import RunningRequests, TrackedState
+from pomelolane.scheduler.waiting import WaitingRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -59,8 +59,8 @@
         self._lengths = AnswerLengths(enabled=options.learn_lengths)
         self._limits = UsageLimiter()
         self._reserve = Reserve(options)
-        self._flights = FlightBook(
-            FlightParts(
+        self._running = RunningRequests(
+            TrackedState(
                 self._queue,
                 self._fleet,
                 self._prefixes,
@@ -70,11 +70,11 @@
             ),
             options,
         )
-        self._chances = Chances(
-            self._queue, self._placer, self._flights, options, self._may_go
+        self._out_of_order = OutOfOrderSelector(
+            self._queue, self._placer, self._running, options, self._may_dispatch
         )
-        self._waiting: dict[str, Waiting] = {}
-        self._checks: list[tuple[float, int, Waiting]] = []
+        self._waiting: dict[str, WaitingRequest] = {}
+        self._checks: list[tuple[float, int, WaitingRequest]] = []
         self._sequence = count()
 
     def configure(self, tree: Tree, now_ms: float) -> Sequence[Decision]:
@@ -97,29 +97,29 @@
             {o.name: o.weight for o in tree.organisations.values()},
         )
         self._limits.configure(tree)
-        self._flights.unpark_all()
+        self._running.unpark_all()
         return self._dispatch(now_ms)
 
     def submit(self, handle: Handle, now_ms: float) -> Sequence[Decision]:
         """Queue a request; a request id already known is ignored."""
         request_id = handle.request_id
-        if request_id in self._waiting or request_id in self._flights:
+        if request_id in self._waiting or request_id in self._running:
             return []
-        waiting = self._expect(handle, now_ms)
-        self._note_arrival(waiting, now_ms)
+        waiting = self._make_waiting(handle, now_ms)
+        self._record_arrival(waiting, now_ms)
         refusal = self._limits.admit(handle, waiting.cost_tokens, now_ms)
         if refusal is not None:
             return [Decision(request_id, refusal)]
-        verdict = self._admission.admit(waiting, now_ms)
-        if verdict.refusal is not None:
+        result = self._admission.admit(waiting, now_ms)
+        if result.refusal is not None:
             self._limits.give_back(handle, waiting.cost_tokens)
-            return [Decision(request_id, verdict.refusal)]
-        waiting.predicted_wait_ms = verdict.predicted_wait_ms
+            return [Decision(request_id, result.refusal)]
+        waiting.predicted_wait_ms = result.predicted_wait_ms
         decisions: list[Decision] = []
-        if verdict.displaced is not None:
-            victim = verdict.displaced
+        if result.displaced is not None:
+            victim = result.displaced
             rank = victim.handle.tier_rank
-            refusal = self._admission.displacement(rank, now_ms)
+            refusal = self._admission.displaced_refusal(rank, now_ms)
             decisions.append(self._refuse(victim, refusal))
         self._enqueue(waiting)
         decisions.extend(self._dispatch(now_ms))
@@ -129,28 +129,28 @@
         """Account for a request dispatched under an earlier scheduler."""
         handle = running.handle
         worker = self._fleet.workers.get(running.endpoint_id)
-        if worker is None or handle.request_id in self._flights:
+        if worker is None or handle.request_id in self._running:
             return
         waiting = self._waiting.get(handle.request_id)
         if waiting is not None:
-            self._forget(waiting)
-        waiting = self._expect(handle, now_ms)
+            self._remove_waiting(waiting)
+        waiting = self._make_waiting(handle, now_ms)
         placement = self._placer.predict(waiting, worker, 0.0, now_ms)
-        self._flights.register(waiting, placement, running, now_ms)
+        self._running.register(waiting, placement, running, now_ms)
 
     def withdraw(self, request_id: str, now_ms: float) -> Sequence[Decision]:
         """Forget a waiting request, or free a granted one's slot."""
         waiting = self._waiting.get(request_id)
         if waiting is not None:
-            self._forget(waiting)
+            self._remove_waiting(waiting)
             self._limits.give_back(waiting.handle, waiting.cost_tokens)
             return self._dispatch(now_ms)
-        self._flights.end(request_id, now_ms)
+        self._running.end(request_id, now_ms)
         return self._dispatch(now_ms)
 
     def observe(self, event: StreamEvent, now_ms: float) -> Sequence[Decision]:
         """Learn from a stream; frees the slot when finished."""
-        if not self._flights.observe(event, now_ms):
+        if not self._running.observe(event, now_ms):
             return []
         return self._dispatch(now_ms)
 
@@ -165,7 +165,7 @@
 
     def report_cache(self, event: CacheEvent, now_ms: float) -> None:
         """Correct the record of cached prefixes."""
-        self._prefixes.correct(event, now_ms)
+        self._prefixes.apply_event(event, now_ms)
 
     def mark_leaving(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
         """Grant nothing more to an endpoint."""
@@ -192,11 +192,11 @@
 
     def tick(self, now_ms: float) -> Sequence[Decision]:
         """Expire deadlines, probe stragglers; call every 50 ms or so."""
-        self._flights.check(now_ms)
+        self._running.check(now_ms)
         decisions = self._expire(now_ms)
         decisions.extend(self._dispatch(now_ms))
         if self._waiting:
-            decisions.extend(self._probe(now_ms))
+            decisions.extend(self._send_probes(now_ms))
         return decisions
 
     def status(self) -> dict[str, EndpointFigures]:
@@ -208,44 +208,44 @@
 
     def placement_of(self, request_id: str) -> Placement | None:
         """Return the prediction behind a running request's grant, for logs."""
-        return self._flights.placement_of(request_id)
+        return self._running.placement_of(request_id)
 
-    def _expect(self, handle: Handle, now_ms: float) -> Waiting:
+    def _make_waiting(self, handle: Handle, now_ms: float) -> WaitingRequest:
         length = self._lengths.expect(
             handle.work, handle.organisation, handle.decode_tokens
         )
         deadline_ms = now_ms + handle.budget_ms
-        return Waiting(
+        return WaitingRequest(
             handle,
             now_ms,
             deadline_ms,
             length.short_tokens,
-            length.middle_tokens,
+            length.typical_tokens,
             length.long_tokens,
         )
 
-    def _note_arrival(self, waiting: Waiting, now_ms: float) -> None:
+    def _record_arrival(self, waiting: WaitingRequest, now_ms: float) -> None:
         handle = waiting.handle
-        hold_ms = self._fleet.summary(now_ms).middle_service_ms(
+        hold_ms = self._fleet.summary(now_ms).median_service_ms(
             handle.prefill_tokens, waiting.decode_tokens
         )
         slack_ms = handle.budget_ms - hold_ms
-        self._reserve.arrived(handle.tier_rank, hold_ms, slack_ms, now_ms)
+        self._reserve.record_arrival(handle.tier_rank, hold_ms, slack_ms, now_ms)
 
-    def _enqueue(self, waiting: Waiting) -> None:
+    def _enqueue(self, waiting: WaitingRequest) -> None:
         self._waiting[waiting.handle.request_id] = waiting
         self._queue.push(waiting)
-        self._check_at(waiting.safe_start_ms, waiting)
+        self._schedule_check(waiting.safe_start_ms, waiting)
 
-    def _check_at(self, time_ms: float, waiting: Waiting) -> None:
+    def _schedule_check(self, time_ms: float, waiting: WaitingRequest) -> None:
         heapq.heappush(self._checks, (time_ms, next(self._sequence), waiting))
 
-    def _forget(self, waiting: Waiting) -> None:
+    def _remove_waiting(self, waiting: WaitingRequest) -> None:
         del self._waiting[waiting.handle.request_id]
         self._queue.remove(waiting)
 
-    def _refuse(self, waiting: Waiting, refusal: Refusal) -> Decision:
-        self._forget(waiting)
+    def _refuse(self, waiting: WaitingRequest, refusal: Refusal) -> Decision:
+        self._remove_waiting(waiting)
         self._limits.give_back(waiting.handle, waiting.cost_tokens)
         return Decision(waiting.handle.request_id, refusal)
 
@@ -256,28 +256,28 @@
             waiting = heapq.heappop(self._checks)[2]
             if not waiting.queued:
                 continue
-            self._admission.predict_latest(waiting, now_ms)
+            self._admission.predict_latest_start(waiting, now_ms)
             if waiting.last_start_ms >= now_ms:
                 self._defer_or_wait(waiting, now_ms)
                 continue
-            refusal = self._admission.expired(waiting, now_ms)
-            if self._flights.is_parked(waiting.handle):
+            refusal = self._admission.expired_refusal(waiting, now_ms)
+            if self._running.is_parked(waiting.handle):
                 refusal = replace(refusal, reason=Reason.CONCURRENCY_LIMIT)
             decisions.append(self._refuse(waiting, refusal))
         return decisions
 
-    def _defer_or_wait(self, waiting: Waiting, now_ms: float) -> None:
+    def _defer_or_wait(self, waiting: WaitingRequest, now_ms: float) -> None:
         """Look again when a long answer, or else any, would be late."""
         if waiting.safe_start_ms >= now_ms:
-            self._check_at(waiting.safe_start_ms, waiting)
+            self._schedule_check(waiting.safe_start_ms, waiting)
             return
         self._queue.defer(waiting)
-        self._check_at(waiting.last_start_ms, waiting)
+        self._schedule_check(waiting.last_start_ms, waiting)
 
     def _dispatch(self, now_ms: float) -> list[Decision]:
         """Grant slots until nothing more can go."""
         decisions: list[Decision] = []
-        self._fleet.wake(now_ms)
+        self._fleet.reopen_ready(now_ms)
         while self._waiting and self._fleet.has_open():
             decision = self._next_grant(now_ms)
             if decision is None:
@@ -292,27 +292,29 @@
             requests = self._queue.scan(rank)
             try:
                 for waiting in requests:
-                    placement = self._try(waiting, held, now_ms)
+                    placement = self._try_place(waiting, held, now_ms)
                     if placement is not None:
                         return self._grant(waiting, placement, now_ms)
             finally:
                 requests.close()
-            chosen = self._chances.for_slot(rank, held, now_ms)
+            chosen = self._out_of_order.select_for_slot(rank, held, now_ms)
             if chosen is not None:
                 return self._grant(*chosen, now_ms)
         return None
 
-    def _try(self, waiting: Waiting, held: set[str], now_ms: float) -> Placement | None:
-        if waiting.deferred and self._is_behind(waiting):
+    def _try_place(
+        self, waiting: WaitingRequest, held: set[str], now_ms: float
+    ) -> Placement | None:
+        if waiting.deferred and self._yields_to_others(waiting):
             return None
-        if not self._may_go(waiting, now_ms):
+        if not self._may_dispatch(waiting, now_ms):
             return None
         placement = self._placer.place(waiting, held, now_ms)
         if placement is None:
-            self._placer.hold_memory(waiting, held)
+            self._placer.hold_for_memory(waiting, held)
         return placement
 
-    def _is_behind(self, waiting: Waiting) -> bool:
+    def _yields_to_others(self, waiting: WaitingRequest) -> bool:
         """Tell whether a deferred request leaves its chance to others.
 
         Its answer may be cut and its prefill lost, so any request of its tier
@@ -322,41 +324,43 @@
             return False
         return not self._queue.all_deferred(waiting.handle.tier_rank)
 
-    def _may_go(self, waiting: Waiting, now_ms: float) -> bool:
+    def _may_dispatch(self, waiting: WaitingRequest, now_ms: float) -> bool:
         """Tell whether limits and the reserve let a request have a slot."""
-        if self._flights.park_if_limited(waiting.handle):
+        if self._running.park_if_limited(waiting.handle):
             return False
-        return self._room_for(waiting, now_ms)
+        return self._reserve_allows(waiting, now_ms)
 
-    def _room_for(self, waiting: Waiting, now_ms: float) -> bool:
+    def _reserve_allows(self, waiting: WaitingRequest, now_ms: float) -> bool:
         """Tell whether the reserve leaves room for a request."""
         if not self._options.reserve:
             return True
         handle = waiting.handle
         summary = self._fleet.summary(now_ms)
-        hold_ms = summary.middle_service_ms(
+        hold_ms = summary.median_service_ms(
             handle.prefill_tokens, waiting.decode_tokens
         )
         return self._reserve.allows(handle.tier_rank, hold_ms, summary.slots, now_ms)
 
-    def _probe(self, now_ms: float) -> list[Decision]:
+    def _send_probes(self, now_ms: float) -> list[Decision]:
         """Send one request to each endpoint that is due a probe."""
         decisions: list[Decision] = []
         for worker in self._fleet.probes_due(now_ms):
-            chosen = self._chances.for_probe(worker, now_ms)
+            chosen = self._out_of_order.select_for_probe(worker, now_ms)
             if chosen is not None:
                 decisions.append(self._grant(*chosen, now_ms))
         return decisions
 
-    def _grant(self, waiting: Waiting, placement: Placement, now_ms: float) -> Decision:
+    def _grant(
+        self, waiting: WaitingRequest, placement: Placement, now_ms: float
+    ) -> Decision:
         del self._waiting[waiting.handle.request_id]
         self._queue.take(waiting)
-        self._admission.drain.learn(
+        self._admission.wait_correction.learn(
             waiting.handle.tier_rank,
             waiting.predicted_wait_ms,
             now_ms - waiting.submitted_ms,
         )
-        self._flights.begin(waiting, placement, now_ms)
+        self._running.begin(waiting, placement, now_ms)
         request_id = waiting.handle.request_id
         grant = Grant(
             request_id, placement.worker.endpoint_id, placement.first_token_ms
--- a/src/pomelolane/scheduler/estimate.py
+++ b/src/pomelolane/scheduler/estimate.py
@@ -17,10 +17,10 @@
 _PRIOR_RATIOS = (1.0, 1.0, 2.0)
 # Of a short, a middling and a long answer.
 _QUANTILES = (0.1, 0.6, 0.98)
-_KEPT_ANSWERS = 128
-_ENOUGH_ANSWERS = 64
+_MAX_ANSWERS = 128
+_MIN_ANSWERS = 64
 _CUT_FACTOR = 1.25
-_CHANCE_SHARE = 0.8
+_START_BUDGET_SHARE = 0.8
 
 
 class DecayingRate:
@@ -66,11 +66,11 @@
     """
 
     short_tokens: int
-    middle_tokens: int
+    typical_tokens: int
     long_tokens: int
 
 
-class _Ratios:
+class _LengthRatios:
     """Actual over expected lengths of the latest answers of one kind.
 
     Of an answer that was cut, only what it had is known. It counts as long as
@@ -80,31 +80,31 @@
 
     __slots__ = (
         "_latest",
-        "_places",
+        "_quantile_indices",
         "_size",
         "_sorted",
+        "has_enough",
         "long",
-        "mature",
-        "middle",
         "short",
+        "typical",
     )
 
     def __init__(self) -> None:
         self._latest = deque(_PRIOR_RATIOS)
         self._sorted = list(_PRIOR_RATIOS)
         self._size = 0
-        self._places: tuple[int, ...] = ()
-        self.mature = False
+        self._quantile_indices: tuple[int, ...] = ()
+        self.has_enough = False
         self._summarise()
 
     def add(self, ratio: float, *, cut: bool) -> None:
         """Take in an answer, whole or cut."""
         ratio = min(_MAX_RATIO, ratio)
         if cut:
-            ratio = self._whole(ratio)
+            ratio = self._estimate_full_ratio(ratio)
         self._latest.append(ratio)
         insort(self._sorted, ratio)
-        if len(self._latest) > _KEPT_ANSWERS:
+        if len(self._latest) > _MAX_ANSWERS:
             oldest = self._latest.popleft()
             del self._sorted[bisect_left(self._sorted, oldest)]
         self._summarise()
@@ -113,14 +113,16 @@
         size = len(self._sorted)
         if size != self._size:
             self._size = size
-            self._places = tuple(math.ceil(each * size) - 1 for each in _QUANTILES)
-            self.mature = size >= _ENOUGH_ANSWERS
-        short, middle, long = self._places
+            self._quantile_indices = tuple(
+                math.ceil(each * size) - 1 for each in _QUANTILES
+            )
+            self.has_enough = size >= _MIN_ANSWERS
+        short, middle, long = self._quantile_indices
         self.short = self._sorted[short]
-        self.middle = self._sorted[middle]
+        self.typical = self._sorted[middle]
         self.long = self._sorted[long]
 
-    def _whole(self, ratio: float) -> float:
+    def _estimate_full_ratio(self, ratio: float) -> float:
         """Return what a cut answer's length was, as far as can be told."""
         longer = self._sorted[bisect_right(self._sorted, ratio) :]
         if not longer:
@@ -128,7 +130,7 @@
         return sum(longer) / len(longer)
 
 
-_UNKNOWN = _Ratios()
+_UNKNOWN = _LengthRatios()
 
 
 class AnswerLengths:
@@ -142,8 +144,8 @@
 
     def __init__(self, *, enabled: bool = True) -> None:
         self._enabled = enabled
-        self._ratios: dict[tuple[str, str], _Ratios] = {}
-        self._of_all: dict[str, _Ratios] = {}
+        self._ratios: dict[tuple[str, str], _LengthRatios] = {}
+        self._ratios_by_work: dict[str, _LengthRatios] = {}
 
     def expect(
         self, work: str, organisation: str, expected_tokens: int
@@ -152,9 +154,9 @@
         if not self._enabled:
             return ExpectedLength(expected_tokens, expected_tokens, expected_tokens)
         ratios = self._ratios.get((work, organisation), _UNKNOWN)
-        if not ratios.mature:
-            ratios = self._of_all.get(work, _UNKNOWN)
-        middle = max(1, round(expected_tokens * ratios.middle))
+        if not ratios.has_enough:
+            ratios = self._ratios_by_work.get(work, _UNKNOWN)
+        middle = max(1, round(expected_tokens * ratios.typical))
         long = max(middle, round(expected_tokens * ratios.long))
         short = min(middle, max(1, round(expected_tokens * ratios.short)))
         return ExpectedLength(short, middle, long)
@@ -174,19 +176,19 @@
         ratio = tokens / expected_tokens
         ratios = self._ratios.get((work, organisation))
         if ratios is None:
-            ratios = self._ratios[work, organisation] = _Ratios()
-        if not ratios.mature:
-            self._of_all.setdefault(work, _Ratios()).add(ratio, cut=cut)
+            ratios = self._ratios[work, organisation] = _LengthRatios()
+        if not ratios.has_enough:
+            self._ratios_by_work.setdefault(work, _LengthRatios()).add(ratio, cut=cut)
         ratios.add(ratio, cut=cut)
 
 
-def needed_ms(middle_ms: float, long_ms: float, budget_ms: float) -> float:
+def needed_ms(typical_ms: float, long_ms: float, budget_ms: float) -> float:
     """Return the time that a request should still have when it begins.
 
     That is enough for a long answer; but where a long answer would need most of
     the whole budget, a request that begins early enough gets its chance.
     """
-    return min(long_ms, max(middle_ms, _CHANCE_SHARE * budget_ms))
+    return min(long_ms, max(typical_ms, _START_BUDGET_SHARE * budget_ms))
 
 
 class DecayingCount:
--- a/src/pomelolane/scheduler/figures.py
+++ b/src/pomelolane/scheduler/figures.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pomelolane.scheduler.health import State
+from pomelolane.scheduler.health import HealthState
 
 if TYPE_CHECKING:
     from pomelolane.scheduler.fleet import Worker
@@ -42,6 +42,6 @@
     return EndpointFigures(
         prefill_tokens_per_s=prefill if math.isfinite(prefill) else 0.0,
         decode_tokens_per_s=worker.account.decode_per_ms * _MS_PER_S,
-        straggling=worker.health.state is State.STRAGGLING,
+        straggling=worker.health.state is HealthState.STRAGGLING,
         slowdown=slowdown if math.isfinite(slowdown) else 0.0,
     )
--- a/src/pomelolane/scheduler/fleet.py
+++ b/src/pomelolane/scheduler/fleet.py
@@ -15,7 +15,7 @@
 
 from pomelolane.model import ServiceKind
 from pomelolane.scheduler.accounting import EndpointState, make_endpoint_state
-from pomelolane.scheduler.health import EndpointHealth, State
+from pomelolane.scheduler.health import EndpointHealth, HealthState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -71,7 +71,7 @@
     fastest: tuple[EndpointState, ...]
     by_speed: tuple[Worker, ...]
 
-    def middle_service_ms(self, prefill_tokens: int, decode_tokens: int) -> float:
+    def median_service_ms(self, prefill_tokens: int, decode_tokens: int) -> float:
         """Return the predicted time on the endpoint of middle speed."""
         if not self.by_speed:
             return 0.0
@@ -82,7 +82,7 @@
         """Return how long the endpoints need for what waits."""
         if not self.by_speed or backlog.requests <= 0:
             return 0.0
-        mean_ms = self.middle_service_ms(
+        mean_ms = self.median_service_ms(
             int(backlog.prefill_tokens / backlog.requests),
             int(backlog.decode_tokens / backlog.requests),
         )
@@ -102,7 +102,7 @@
         self._options = options
         self._slot_share = options.default_slot_share
         self._open: list[tuple[float, str]] = []
-        self._wake: list[tuple[float, int, Worker]] = []
+        self._prefill_waits: list[tuple[float, int, Worker]] = []
         self._sequence = count()
         self._unhealthy: dict[str, Worker] = {}
         self._ready = 0
@@ -120,13 +120,13 @@
             account = worker.account
             account.leaving = True
             # As if declared as leaving, so that a new declaration reopens it.
-            account.declare(replace(account.endpoint, leaving=True))
-            if not worker.account.flights:
+            account.update_declaration(replace(account.endpoint, leaving=True))
+            if not worker.account.running:
                 self._close(worker)
                 del self.workers[endpoint_id]
                 self._unhealthy.pop(endpoint_id, None)
         for endpoint in declared.values():
-            self._adopt(endpoint, kind)
+            self._configure_endpoint(endpoint, kind)
         sizes = [endpoint.kv_tokens or math.inf for endpoint in declared.values()]
         self._largest_kv_tokens = max(sizes, default=math.inf)
         self.refresh_all(now_ms)
@@ -135,7 +135,7 @@
         """Use only a share of each endpoint's slots."""
         self._slot_share = share
         for worker in self.workers.values():
-            worker.account.use_share(share)
+            worker.account.set_slot_share(share)
         self.refresh_all(now_ms)
 
     def refresh_all(self, now_ms: float) -> None:
@@ -147,7 +147,7 @@
 
     def health_changed(self, worker: Worker, now_ms: float) -> None:
         """Take note that a worker's health state is another one."""
-        if worker.health.state is State.HEALTHY:
+        if worker.health.state is HealthState.HEALTHY:
             self._unhealthy.pop(worker.endpoint_id, None)
         else:
             self._unhealthy[worker.endpoint_id] = worker
@@ -169,16 +169,16 @@
         lookahead_ms = self._options.prefill_lookahead_ms
         if self._options.bound_prefill and ahead_ms > lookahead_ms:
             wake_ms = account.prefill_free_ms - lookahead_ms
-            heapq.heappush(self._wake, (wake_ms, next(self._sequence), worker))
+            heapq.heappush(self._prefill_waits, (wake_ms, next(self._sequence), worker))
             return
         typical_ms = account.service_ms(_TYPICAL_PREFILL_TOKENS, _TYPICAL_DECODE_TOKENS)
         worker.open_key = (ahead_ms + typical_ms, worker.endpoint_id)
         insort(self._open, worker.open_key)
 
-    def wake(self, now_ms: float) -> None:
+    def reopen_ready(self, now_ms: float) -> None:
         """Open workers whose prompts ahead are nearly done."""
-        while self._wake and self._wake[0][0] <= now_ms:
-            worker = heapq.heappop(self._wake)[2]
+        while self._prefill_waits and self._prefill_waits[0][0] <= now_ms:
+            worker = heapq.heappop(self._prefill_waits)[2]
             if worker.open_key is None:
                 self.refresh(worker, now_ms)
 
@@ -205,15 +205,15 @@
         """Tell whether a worker serves; stragglers do if nobody else can."""
         if worker.account.leaving:
             return False
-        if worker.health.state is State.HEALTHY:
+        if worker.health.state is HealthState.HEALTHY:
             return True
-        return self._ready == 0 and worker.health.state is State.STRAGGLING
+        return self._ready == 0 and worker.health.state is HealthState.STRAGGLING
 
     def ready_count(self) -> int:
         """Return how many endpoints are healthy and not leaving."""
         return self._ready
 
-    def eligible(self, excluded: tuple[str, ...]) -> bool:
+    def has_eligible(self, excluded: tuple[str, ...]) -> bool:
         """Tell whether any endpoint is left that is not leaving."""
         return any(
             not worker.account.leaving and endpoint_id not in excluded
@@ -227,7 +227,7 @@
             return 0.0
         return self._summary.prefill_per_ms / len(self._summary.by_speed)
 
-    def holds_memory(self, tokens: int) -> bool:
+    def has_kv_capacity(self, tokens: int) -> bool:
         """Tell whether any endpoint's KV cache is large enough at all."""
         return tokens <= self._largest_kv_tokens
 
@@ -255,18 +255,18 @@
             by_speed=tuple(ready),
         )
 
-    def _adopt(self, endpoint: Endpoint, kind: ServiceKind) -> None:
+    def _configure_endpoint(self, endpoint: Endpoint, kind: ServiceKind) -> None:
         worker = self.workers.get(endpoint.endpoint_id)
         if worker is None:
             account = make_endpoint_state(
                 endpoint, kind, learn_speeds=self._options.learn_speeds
             )
-            account.use_share(self._slot_share)
-            health = EndpointHealth(judges_tokens=kind is ServiceKind.ENGINE)
+            account.set_slot_share(self._slot_share)
+            health = EndpointHealth(uses_token_rate=kind is ServiceKind.ENGINE)
             self.workers[endpoint.endpoint_id] = Worker(account, health)
             return
         declared_again = worker.account.endpoint.leaving and not endpoint.leaving
-        worker.account.declare(endpoint)
+        worker.account.update_declaration(endpoint)
         if endpoint.leaving:
             worker.account.leaving = True
         elif declared_again:
@@ -279,7 +279,7 @@
 
 
 def _is_ready(worker: Worker) -> bool:
-    return worker.health.state is State.HEALTHY and not worker.account.leaving
+    return worker.health.state is HealthState.HEALTHY and not worker.account.leaving
 
 
 def _typical_ms(worker: Worker) -> float:
--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -170,8 +170,8 @@
 
     def guess_part(self, now_ms: float) -> float:
         """Return the largest part of a limit that is counted as used by a guess."""
-        parts = (window.guess_part(now_ms) for window in self._windows())
-        return max(parts, default=0.0)
+        tracked = (window.guess_part(now_ms) for window in self._windows())
+        return max(tracked, default=0.0)
 
     def guessed_organisations(self, now_ms: float) -> list[str]:
         """Return the organisations whose limits are judged by a guess."""
@@ -229,7 +229,7 @@
                 _charge_rates(account, 1.0, tokens)
         return None
 
-    def granted(
+    def record_grant(
         self, handle: Handle, tokens: int, taken_ms: float, now_ms: float
     ) -> None:
         """Count a request that gets a slot from now on.
@@ -280,12 +280,12 @@
         accounts = self._accounts(handle)
         return bool(accounts) and any(account.is_full() for account in accounts)
 
-    def started(self, handle: Handle) -> None:
+    def record_start(self, handle: Handle) -> None:
         """Count a running request."""
         for account in self._accounts(handle):
             account.running += 1
 
-    def ended(self, handle: Handle) -> None:
+    def record_end(self, handle: Handle) -> None:
         """Uncount a running request."""
         for account in self._accounts(handle):
             account.running = max(0, account.running - 1)
--- a/src/pomelolane/scheduler/objective/core.py
+++ b/src/pomelolane/scheduler/objective/core.py
@@ -401,7 +401,9 @@
         flight.charged_ms = now_ms
         if worker.rate is not None:
             worker.rate.take(now_ms)
-        self.limits.granted(handle, handle.charge_tokens, waiting.submitted_ms, now_ms)
+        self.limits.record_grant(
+            handle, handle.charge_tokens, waiting.submitted_ms, now_ms
+        )
         self._flights[handle.request_id] = worker.endpoint.endpoint_id
         if self.trial is not None:
             self.trial.granted(worker.endpoint.endpoint_id, handle.work)
--- a/src/pomelolane/scheduler/chances.py
+++ b/src/pomelolane/scheduler/out_of_order.py
@@ -14,23 +14,23 @@
     from collections.abc import Callable
 
     from pomelolane.scheduler.fleet import Worker
-    from pomelolane.scheduler.flights import FlightBook
     from pomelolane.scheduler.options import CoreOptions
     from pomelolane.scheduler.placement import Placement, Placer
     from pomelolane.scheduler.queue import FairQueue
-    from pomelolane.scheduler.waiting import Waiting
+    from pomelolane.scheduler.running import RunningRequests
+    from pomelolane.scheduler.waiting import WaitingRequest
 
-    Chosen = tuple[Waiting, Placement]
+    Selection = tuple[WaitingRequest, Placement]
 
-MOST_FOR_SLOT = 16
+MAX_DEFERRED_FOR_SLOT = 16
 """Deferred requests of a tier that are looked at for a free slot, at each decision."""
 
-MOST_FOR_PROBE = 256
+MAX_DEFERRED_FOR_PROBE = 256
 """The same for a probe, of which there is one a second: the first ones are due at once
 and would be late on an endpoint that is a little slower than the best."""
 
 
-class Chances:
+class OutOfOrderSelector:
     """Chooses requests beside the usual order.
 
     Args:
@@ -45,17 +45,19 @@
         self,
         queue: FairQueue,
         placer: Placer,
-        flights: FlightBook,
+        flights: RunningRequests,
         options: CoreOptions,
-        may_go: Callable[[Waiting, float], bool],
+        may_dispatch: Callable[[WaitingRequest, float], bool],
     ) -> None:
         self._queue = queue
         self._placer = placer
-        self._flights = flights
+        self._running = flights
         self._options = options
-        self._may_go = may_go
+        self._may_dispatch = may_dispatch
 
-    def for_slot(self, rank: int, held: set[str], now_ms: float) -> Chosen | None:
+    def select_for_slot(
+        self, rank: int, held: set[str], now_ms: float
+    ) -> Selection | None:
         """Return one of a tier that a short answer in a free slot would save.
 
         Args:
@@ -65,37 +67,41 @@
             now_ms: The time.
         """
 
-        def place(waiting: Waiting) -> Placement | None:
-            if not self._may_go(waiting, now_ms):
+        def place(waiting: WaitingRequest) -> Placement | None:
+            if not self._may_dispatch(waiting, now_ms):
                 return None
             return self._placer.place_for_short_answer(waiting, held, now_ms)
 
-        return self._first_deferred(rank, place, MOST_FOR_SLOT)
+        return self._select_deferred(rank, place, MAX_DEFERRED_FOR_SLOT)
 
-    def for_probe(self, worker: Worker, now_ms: float) -> Chosen | None:
+    def select_for_probe(self, worker: Worker, now_ms: float) -> Selection | None:
         """Return the request that tries an endpoint which was slow.
 
         It is one of the lowest tier, since higher ones are to be spared the risk, but
         for those that nothing else can save: the others of their tier, which have time,
         go before them everywhere else.
         """
-        return self._saved_by_probe(worker, now_ms) or self._lowest(worker, now_ms)
-
-    def _saved_by_probe(self, worker: Worker, now_ms: float) -> Chosen | None:
-        def place(waiting: Waiting) -> Placement | None:
-            if self._flights.park_if_limited(waiting.handle):
+        return self._select_urgent_for_probe(
+            worker, now_ms
+        ) or self._select_from_lowest_tier(worker, now_ms)
+
+    def _select_urgent_for_probe(
+        self, worker: Worker, now_ms: float
+    ) -> Selection | None:
+        def place(waiting: WaitingRequest) -> Placement | None:
+            if self._running.park_if_limited(waiting.handle):
                 return None
             return self._placer.in_time_if_short(waiting, worker, now_ms)
 
         for rank in self._queue.ranks():
-            chosen = self._first_deferred(rank, place, MOST_FOR_PROBE)
+            chosen = self._select_deferred(rank, place, MAX_DEFERRED_FOR_PROBE)
             if chosen is not None:
                 return chosen
         return None
 
-    def _first_deferred(
-        self, rank: int, place: Callable[[Waiting], Placement | None], most: int
-    ) -> Chosen | None:
+    def _select_deferred(
+        self, rank: int, place: Callable[[WaitingRequest], Placement | None], most: int
+    ) -> Selection | None:
         """Return the first deferred request of a tier that finds a place."""
         if not self._queue.has_deferred(rank):
             return None
@@ -107,24 +113,26 @@
                     return waiting, placement
         return None
 
-    def _lowest(self, worker: Worker, now_ms: float) -> Chosen | None:
+    def _select_from_lowest_tier(
+        self, worker: Worker, now_ms: float
+    ) -> Selection | None:
         """Return a request that would be in time even at the measured speed."""
         for rank in reversed(self._queue.ranks()):
             with closing(self._queue.scan(rank)) as requests:
                 for waiting in requests:
-                    placement = self._probing(waiting, worker, now_ms)
+                    placement = self._place_probe(waiting, worker, now_ms)
                     if placement is not None:
                         return waiting, placement
         return None
 
-    def _probing(
-        self, waiting: Waiting, worker: Worker, now_ms: float
+    def _place_probe(
+        self, waiting: WaitingRequest, worker: Worker, now_ms: float
     ) -> Placement | None:
         if worker.endpoint_id in waiting.handle.excluded:
             return None
         if waiting.deferred and self._options.sure_first:
             return None
-        if self._flights.park_if_limited(waiting.handle):
+        if self._running.park_if_limited(waiting.handle):
             return None
         if not worker.account.kv_fits(waiting.cost_tokens):
             return None
--- a/src/pomelolane/scheduler/placement.py
+++ b/src/pomelolane/scheduler/placement.py
@@ -18,13 +18,13 @@
     from pomelolane.scheduler.affinity import PrefixIndex
     from pomelolane.scheduler.fleet import Fleet, Worker
     from pomelolane.scheduler.options import CoreOptions
-    from pomelolane.scheduler.waiting import Waiting
+    from pomelolane.scheduler.waiting import WaitingRequest
 
-_MAX_OPEN = 8
-_MAX_HOLDERS = 8
-_MAX_BUSY = 4
-_MAX_HELD = 2
-_OTHER_DATA_CENTRE_MS = 4.0
+_MAX_OPEN_CANDIDATES = 8
+_MAX_PREFIX_CANDIDATES = 8
+_MAX_BUSY_CANDIDATES = 4
+_MAX_HELD_ENDPOINTS = 2
+_CROSS_DATA_CENTRE_MS = 4.0
 _WAIT_GAIN_SHARE = 0.3
 _WAIT_GAIN_MS = 100.0
 _WAIT_REMAINING_SHARE = 0.5
@@ -75,7 +75,7 @@
         self._options = options
 
     def place(
-        self, waiting: Waiting, held: set[str], now_ms: float
+        self, waiting: WaitingRequest, held: set[str], now_ms: float
     ) -> Placement | None:
         """Return the best endpoint that can take a request now.
 
@@ -91,18 +91,18 @@
         handle = waiting.handle
         holders = self._holders(handle)
         best = self._best_open(waiting, holders, held, now_ms)
-        if best is None or len(held) >= _MAX_HELD:
+        if best is None or len(held) >= _MAX_HELD_ENDPOINTS:
             return best
         later = self._best_busy(waiting, holders, held, now_ms)
-        if later is None or not _worth_waiting(best, later):
+        if later is None or not _is_worth_waiting(best, later):
             return best
-        if not self._surely_in_time(waiting, later, now_ms):
+        if not self._leaves_time_to_spare(waiting, later, now_ms):
             return best
         held.add(later.worker.endpoint_id)
         return None
 
     def place_for_short_answer(
-        self, waiting: Waiting, held: set[str], now_ms: float
+        self, waiting: WaitingRequest, held: set[str], now_ms: float
     ) -> Placement | None:
         """Return the free endpoint where a short answer would be in time soonest.
 
@@ -125,7 +125,7 @@
         return soonest
 
     def in_time_if_short(
-        self, waiting: Waiting, worker: Worker, now_ms: float
+        self, waiting: WaitingRequest, worker: Worker, now_ms: float
     ) -> Placement | None:
         """Return the prediction on one endpoint if a short answer would be in time."""
         if not _fits(worker, waiting, set()):
@@ -134,11 +134,11 @@
         is_late = now_ms + _short_answer_ms(waiting, placement) >= waiting.deadline_ms
         return None if is_late else placement
 
-    def hold_memory(self, waiting: Waiting, held: set[str]) -> None:
+    def hold_for_memory(self, waiting: WaitingRequest, held: set[str]) -> None:
         """Keep an endpoint from lower tiers until a request's KV cache fits."""
         tokens = waiting.cost_tokens
-        for worker in self._fleet.open_workers(_MAX_OPEN):
-            if not _allowed(worker, waiting, held):
+        for worker in self._fleet.open_workers(_MAX_OPEN_CANDIDATES):
+            if not _is_allowed(worker, waiting, held):
                 continue
             limit = worker.account.endpoint.kv_tokens
             if limit >= tokens and not worker.account.kv_fits(tokens):
@@ -146,7 +146,7 @@
                 return
 
     def predict(
-        self, waiting: Waiting, worker: Worker, wait_ms: float, now_ms: float
+        self, waiting: WaitingRequest, worker: Worker, wait_ms: float, now_ms: float
     ) -> Placement:
         """Predict a request on one endpoint."""
         handle = waiting.handle
@@ -161,8 +161,8 @@
         ahead_ms = account.prefill_ahead_ms(now_ms)
         start_ms = max(wait_ms, ahead_ms)
         if account.endpoint.data_centre != handle.data_centre:
-            start_ms += _OTHER_DATA_CENTRE_MS
-        first_ms = start_ms + account.own_first_token_ms(prefill)
+            start_ms += _CROSS_DATA_CENTRE_MS
+        first_ms = start_ms + account.unqueued_first_token_ms(prefill)
         total_ms = start_ms + account.service_ms(prefill, waiting.decode_tokens)
         long_ms = start_ms + account.service_ms(prefill, waiting.long_decode_tokens)
         return Placement(
@@ -177,7 +177,9 @@
             total_ms + self._options.prefix_weight * self._prefill_cost_ms(prefill),
         )
 
-    def in_time(self, waiting: Waiting, placement: Placement, now_ms: float) -> bool:
+    def in_time(
+        self, waiting: WaitingRequest, placement: Placement, now_ms: float
+    ) -> bool:
         """Tell whether a prediction meets the request's deadline.
 
         A deferred request has no time for a long answer any more; it gets its
@@ -192,8 +194,8 @@
         needed = needed_ms(needed, long_ms, waiting.handle.budget_ms)
         return now_ms + needed <= waiting.deadline_ms
 
-    def _surely_in_time(
-        self, waiting: Waiting, placement: Placement, now_ms: float
+    def _leaves_time_to_spare(
+        self, waiting: WaitingRequest, placement: Placement, now_ms: float
     ) -> bool:
         """Tell whether a prediction leaves much of the time that is left."""
         remaining_ms = waiting.deadline_ms - now_ms
@@ -210,7 +212,7 @@
         workers = self._fleet.workers
         found: list[Worker] = []
         for endpoint_id in self._prefixes.holders(handle.prefix_hashes):
-            if len(found) >= _MAX_HOLDERS:
+            if len(found) >= _MAX_PREFIX_CANDIDATES:
                 break
             worker = workers.get(endpoint_id)
             if worker is not None and self._fleet.may_serve(worker):
@@ -219,7 +221,7 @@
 
     def _best_open(
         self,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         holders: list[Worker],
         held: set[str],
         now_ms: float,
@@ -227,19 +229,21 @@
         best: Placement | None = None
         for worker in self._open_candidates(waiting, holders, held):
             placement = self.predict(waiting, worker, 0.0, now_ms)
-            if not self._usable(waiting, placement, now_ms):
+            if not self._is_usable(waiting, placement, now_ms):
                 continue
             if best is None or placement.score < best.score:
                 best = placement
         return best
 
-    def _usable(self, waiting: Waiting, placement: Placement, now_ms: float) -> bool:
+    def _is_usable(
+        self, waiting: WaitingRequest, placement: Placement, now_ms: float
+    ) -> bool:
         if not self._options.refuse_unreachable:
             return True
         return self.in_time(waiting, placement, now_ms)
 
     def _open_candidates(
-        self, waiting: Waiting, holders: list[Worker], held: set[str]
+        self, waiting: WaitingRequest, holders: list[Worker], held: set[str]
     ) -> Iterator[Worker]:
         seen: set[str] = set()
         looked = 0
@@ -252,19 +256,19 @@
                 continue
             looked += 1
             yield worker
-            if looked >= _MAX_OPEN:
+            if looked >= _MAX_OPEN_CANDIDATES:
                 return
 
     def _best_busy(
         self,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         holders: list[Worker],
         held: set[str],
         now_ms: float,
     ) -> Placement | None:
         best: Placement | None = None
         for worker in self._busy_candidates(holders, now_ms):
-            if not _allowed(worker, waiting, held):
+            if not _is_allowed(worker, waiting, held):
                 continue
             wait_ms = worker.account.slot_wait_ms(now_ms)
             placement = self.predict(waiting, worker, wait_ms, now_ms)
@@ -281,32 +285,32 @@
             return
         looked = 0
         for worker in self._fleet.summary(now_ms).by_speed:
-            if looked >= _MAX_BUSY:
+            if looked >= _MAX_BUSY_CANDIDATES:
                 return
             if worker.open_key is None:
                 looked += 1
                 yield worker
 
 
-def _short_answer_ms(waiting: Waiting, placement: Placement) -> float:
+def _short_answer_ms(waiting: WaitingRequest, placement: Placement) -> float:
     """Return the predicted time to the end of a short answer."""
     account = placement.worker.account
     prompt = placement.prefill_tokens
-    start_ms = placement.first_token_ms - account.own_first_token_ms(prompt)
+    start_ms = placement.first_token_ms - account.unqueued_first_token_ms(prompt)
     return start_ms + account.service_ms(prompt, waiting.short_decode_tokens)
 
 
-def _allowed(worker: Worker, waiting: Waiting, held: set[str]) -> bool:
+def _is_allowed(worker: Worker, waiting: WaitingRequest, held: set[str]) -> bool:
     endpoint_id = worker.endpoint_id
     return endpoint_id not in held and endpoint_id not in waiting.handle.excluded
 
 
-def _fits(worker: Worker, waiting: Waiting, held: set[str]) -> bool:
-    if not _allowed(worker, waiting, held):
+def _fits(worker: Worker, waiting: WaitingRequest, held: set[str]) -> bool:
+    if not _is_allowed(worker, waiting, held):
         return False
     return worker.account.kv_fits(waiting.cost_tokens)
 
 
-def _worth_waiting(now: Placement, later: Placement) -> bool:
+def _is_worth_waiting(now: Placement, later: Placement) -> bool:
     gain_ms = now.score - later.score
     return gain_ms > max(_WAIT_GAIN_MS, _WAIT_GAIN_SHARE * now.score)
--- a/src/pomelolane/scheduler/queue.py
+++ b/src/pomelolane/scheduler/queue.py
@@ -12,7 +12,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from pomelolane.scheduler.waiting import Backlog, Waiting
+from pomelolane.scheduler.waiting import Backlog, WaitingRequest
 
 if TYPE_CHECKING:
     from collections.abc import Generator, Iterator
@@ -29,9 +29,9 @@
 
     weight: float = 1.0
     virtual_time: float = 0.0
-    floor: float = 0.0
+    min_virtual_time: float = 0.0
     correction: float = 0.0
-    listed: bool = False
+    in_heap: bool = False
 
     def charge(self, tokens: float) -> None:
         self.virtual_time += max(0.0, tokens + self.correction) / self.weight
@@ -41,17 +41,17 @@
 @dataclass(slots=True, eq=False)
 class _Organisation(_Share):
     team: _Team = None  # type: ignore[assignment]
-    by_deadline: list[tuple[float, int, Waiting]] = field(default_factory=list)
-    by_arrival: OrderedDict[str, Waiting] = field(default_factory=OrderedDict)
+    by_deadline: list[tuple[float, int, WaitingRequest]] = field(default_factory=list)
+    by_arrival: OrderedDict[str, WaitingRequest] = field(default_factory=OrderedDict)
     name: str = ""
     prefill_tokens: int = 0
     decode_tokens: int = 0
     latest_ms: float = 0.0
 
-    def head(self) -> Waiting | None:
+    def head(self) -> WaitingRequest | None:
         """Return the request with the nearest deadline."""
         heap = self.by_deadline
-        while heap and not _stands(heap[0]):
+        while heap and not _is_current_entry(heap[0]):
             heapq.heappop(heap)
         return heap[0][2] if heap else None
 
@@ -64,10 +64,10 @@
 
 @dataclass(slots=True, eq=False)
 class _Tier:
-    floor: float = 0.0
+    min_virtual_time: float = 0.0
     teams: dict[str, _Team] = field(default_factory=dict)
     heap: list[tuple[float, int, _Team]] = field(default_factory=list)
-    by_arrival: OrderedDict[str, Waiting] = field(default_factory=OrderedDict)
+    by_arrival: OrderedDict[str, WaitingRequest] = field(default_factory=OrderedDict)
     prefill_tokens: int = 0
     decode_tokens: int = 0
     deferred: int = 0
@@ -106,7 +106,7 @@
                 for key, organisation in team.organisations.items():
                     organisation.weight = _positive(organisations.get(key, 1.0))
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: WaitingRequest) -> None:
         """Add a request."""
         handle = waiting.handle
         tier = self._tier(handle.tier_rank)
@@ -120,9 +120,9 @@
             counts.decode_tokens += waiting.decode_tokens
         organisation.latest_ms = max(organisation.latest_ms, waiting.deadline_ms)
         self._length += 1
-        self._list(tier, organisation)
+        self._activate(tier, organisation)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingRequest) -> None:
         """Take a request out without charging anybody."""
         if not waiting.queued:
             return
@@ -136,9 +136,9 @@
         if waiting.deferred:
             tier.deferred -= 1
         else:
-            _uncount(waiting, tier, organisation)
+            _subtract_tokens(waiting, tier, organisation)
 
-    def take(self, waiting: Waiting) -> None:
+    def take(self, waiting: WaitingRequest) -> None:
         """Take a request out for a grant and charge its organisation."""
         self.remove(waiting)
         if not self._fair_shares:
@@ -146,18 +146,18 @@
         tier = self._tiers[waiting.handle.tier_rank]
         organisation = self._organisation(tier, waiting.handle)
         team = organisation.team
-        tier.floor = max(tier.floor, team.virtual_time)
-        team.floor = max(team.floor, organisation.virtual_time)
+        tier.min_virtual_time = max(tier.min_virtual_time, team.virtual_time)
+        team.min_virtual_time = max(team.min_virtual_time, organisation.virtual_time)
         organisation.charge(waiting.cost_tokens)
         team.charge(waiting.cost_tokens)
 
-    def defer(self, waiting: Waiting) -> None:
+    def defer(self, waiting: WaitingRequest) -> None:
         """Let a request go after all others of its organisation."""
         if waiting.deferred or not waiting.queued:
             return
         tier = self._tiers[waiting.handle.tier_rank]
         organisation = self._organisation(tier, waiting.handle)
-        _uncount(waiting, tier, organisation)
+        _subtract_tokens(waiting, tier, organisation)
         waiting.deferred = True
         tier.deferred += 1
         entry = (waiting.order_ms, next(self._sequence), waiting)
@@ -191,44 +191,44 @@
             for team in tier.teams.values():
                 found = team.organisations.get(organisation)
                 if found is not None and found.by_arrival:
-                    self._list(tier, found)
+                    self._activate(tier, found)
 
     def ranks(self) -> list[int]:
         """Return the ranks of tiers with waiting requests, highest tier first."""
         return [rank for rank in self._ranks if self._tiers[rank].by_arrival]
 
-    def scan(self, rank: int) -> Generator[Waiting, None, None]:
+    def scan(self, rank: int) -> Generator[WaitingRequest, None, None]:
         """Yield a tier's requests in the order in which they should go.
 
         The caller may take or remove the yielded request; if it does not,
         the next one is tried. Requests passed over keep their place.
         """
         tier = self._tiers[rank]
-        aside: list[_Organisation] = []
+        skipped: list[_Organisation] = []
         try:
             while (organisation := self._pop_first(tier)) is not None:
-                aside.append(organisation)
-                yield from _tries(organisation)
+                skipped.append(organisation)
+                yield from _candidates(organisation)
         finally:
-            for organisation in aside:
-                self._put_back(tier, organisation)
+            for organisation in skipped:
+                self._push_active(tier, organisation)
 
-    def youngest(self, rank: int) -> Waiting | None:
+    def newest(self, rank: int) -> WaitingRequest | None:
         """Return the request of a tier that came last."""
         tier = self._tiers.get(rank)
         if tier is None or not tier.by_arrival:
             return None
         return tier.by_arrival[next(reversed(tier.by_arrival))]
 
-    def youngest_over_share(self, handle: Handle) -> Waiting | None:
+    def newest_over_share(self, handle: Handle) -> WaitingRequest | None:
         """Return the last request of the organisation furthest over its share.
 
         Only an organisation that has more waiting for its weight than the
         asking one would have with one more counts.
         """
         tier = self._tier(handle.tier_rank)
-        asking = self._organisation(tier, handle)
-        most = (len(asking.by_arrival) + 1) / asking.weight
+        requester = self._organisation(tier, handle)
+        most = (len(requester.by_arrival) + 1) / requester.weight
         found = None
         for team in tier.teams.values():
             for organisation in team.organisations.values():
@@ -258,7 +258,9 @@
         tier = self._tier(handle.tier_rank)
         organisation = self._organisation(tier, handle)
         above = self.backlog(handle.tier_rank - 1)
-        part = _earlier_part(organisation, deadline_ms) / _share(tier, organisation)
+        part = _part_due_earlier(organisation, deadline_ms) / _share_of_tier(
+            tier, organisation
+        )
         return Backlog(
             above.requests
             + min(len(tier.by_arrival), part * len(organisation.by_arrival)),
@@ -282,38 +284,40 @@
             if organisation is not None:
                 return organisation
             heapq.heappop(tier.heap)
-            team.listed = False
+            team.in_heap = False
         return None
 
     def _pop_first_of_team(self, team: _Team) -> _Organisation | None:
         while team.heap:
             _, _, organisation = heapq.heappop(team.heap)
-            organisation.listed = False
+            organisation.in_heap = False
             if organisation.by_arrival and organisation.name not in self._parked:
                 return organisation
         return None
 
-    def _list(self, tier: _Tier, organisation: _Organisation) -> None:
+    def _activate(self, tier: _Tier, organisation: _Organisation) -> None:
         """Make an organisation eligible that had nothing waiting."""
-        if organisation.listed or organisation.name in self._parked:
+        if organisation.in_heap or organisation.name in self._parked:
             return
         team = organisation.team
-        if not team.listed:
-            team.virtual_time = max(team.virtual_time, tier.floor)
-        organisation.virtual_time = max(organisation.virtual_time, team.floor)
-        self._put_back(tier, organisation)
+        if not team.in_heap:
+            team.virtual_time = max(team.virtual_time, tier.min_virtual_time)
+        organisation.virtual_time = max(
+            organisation.virtual_time, team.min_virtual_time
+        )
+        self._push_active(tier, organisation)
 
-    def _put_back(self, tier: _Tier, organisation: _Organisation) -> None:
-        if organisation.listed or not organisation.by_arrival:
+    def _push_active(self, tier: _Tier, organisation: _Organisation) -> None:
+        if organisation.in_heap or not organisation.by_arrival:
             return
         if organisation.name in self._parked:
             return
         team = organisation.team
-        organisation.listed = True
+        organisation.in_heap = True
         entry = (organisation.virtual_time, next(self._sequence), organisation)
         heapq.heappush(team.heap, entry)
-        if not team.listed:
-            team.listed = True
+        if not team.in_heap:
+            team.in_heap = True
             heapq.heappush(tier.heap, (team.virtual_time, next(self._sequence), team))
 
     def _tier(self, rank: int) -> _Tier:
@@ -338,18 +342,18 @@
         return organisation
 
 
-def _stands(entry: tuple[float, int, Waiting]) -> bool:
+def _is_current_entry(entry: tuple[float, int, WaitingRequest]) -> bool:
     """Tell whether a heap entry is its request's current one."""
     return entry[2].queued and entry[0] == entry[2].order_ms
 
 
-def _tries(organisation: _Organisation) -> Iterator[Waiting]:
+def _candidates(organisation: _Organisation) -> Iterator[WaitingRequest]:
     """Yield the first requests by deadline, and then the one that came last.
 
     The last one has most time left, so it may fit an endpoint that is too slow
     for the first ones.
     """
-    passed: list[tuple[float, int, Waiting]] = []
+    passed: list[tuple[float, int, WaitingRequest]] = []
     try:
         while len(passed) < _MAX_TRIES_PER_ORGANISATION:
             head = organisation.head()
@@ -366,7 +370,9 @@
             heapq.heappush(organisation.by_deadline, entry)
 
 
-def _uncount(waiting: Waiting, tier: _Tier, organisation: _Organisation) -> None:
+def _subtract_tokens(
+    waiting: WaitingRequest, tier: _Tier, organisation: _Organisation
+) -> None:
     """Take a request's tokens out of what waits."""
     for counts in (tier, organisation):
         counts.prefill_tokens -= waiting.handle.prefill_tokens
@@ -377,7 +383,7 @@
     return weight if weight > 0 else _SMALLEST_WEIGHT
 
 
-def _share(tier: _Tier, organisation: _Organisation) -> float:
+def _share_of_tier(tier: _Tier, organisation: _Organisation) -> float:
     """Return the part of a tier that is an organisation's while others wait."""
     team = organisation.team
     rivals = [o for o in team.organisations.values() if o.by_arrival]
@@ -392,7 +398,7 @@
     return own * team.weight / sum(other.weight for other in teams)
 
 
-def _earlier_part(organisation: _Organisation, deadline_ms: float) -> float:
+def _part_due_earlier(organisation: _Organisation, deadline_ms: float) -> float:
     """Return about what part of an organisation's queue is due earlier."""
     head = organisation.head()
     if head is None or deadline_ms <= head.deadline_ms:
--- a/src/pomelolane/scheduler/reserve.py
+++ b/src/pomelolane/scheduler/reserve.py
@@ -40,7 +40,7 @@
         self.hold_ms = 0.0
         self.slack_ms = 0.0
 
-    def arrived(self, hold_ms: float, slack_ms: float, now_ms: float) -> None:
+    def record_arrival(self, hold_ms: float, slack_ms: float, now_ms: float) -> None:
         self._arrivals.add(1.0, now_ms)
         rate = self._arrivals.rate_per_ms(now_ms)
         self._peak = max(rate, self.peak_per_ms(now_ms))
@@ -58,7 +58,7 @@
         return self.peak_per_ms(now_ms) * self.hold_ms
 
 
-class _Ends:
+class _EndTimes:
     """When things that are going on should end, countable by time."""
 
     __slots__ = ("_by_id", "_sorted")
@@ -77,7 +77,7 @@
         if end_ms is not None:
             del self._sorted[bisect_left(self._sorted, end_ms)]
 
-    def after(self, time_ms: float) -> int:
+    def count_after(self, time_ms: float) -> int:
         return len(self._sorted) - bisect_right(self._sorted, time_ms)
 
 
@@ -91,9 +91,9 @@
     def __init__(self, options: CoreOptions) -> None:
         self._options = options
         self._tiers: dict[int, _TierDemand] = {}
-        self._ends = _Ends()
+        self._end_times = _EndTimes()
 
-    def arrived(
+    def record_arrival(
         self, rank: int, hold_ms: float, slack_ms: float, now_ms: float
     ) -> None:
         """Note an arrival.
@@ -109,28 +109,28 @@
             demand = self._tiers[rank] = _TierDemand(
                 self._options.reserve_window_ms, self._options.reserve_memory_ms
             )
-        demand.arrived(hold_ms, max(0.0, slack_ms), now_ms)
+        demand.record_arrival(hold_ms, max(0.0, slack_ms), now_ms)
 
     def allows(
         self, rank: int, hold_ms: float, total_slots: int, now_ms: float
     ) -> bool:
         """Tell whether work of a tier may take a slot for so long."""
-        wanted, patience_ms = self._wanted(rank, now_ms)
+        wanted, patience_ms = self._higher_tier_demand(rank, now_ms)
         if wanted < _MIN_SLOTS or hold_ms <= patience_ms:
             return True
         share = min(self._options.reserve_limit, wanted / max(1, total_slots))
-        held = self._ends.after(now_ms + patience_ms)
+        held = self._end_times.count_after(now_ms + patience_ms)
         return held < _allowance(total_slots, share)
 
-    def granted(self, request_id: str, end_ms: float) -> None:
+    def record_grant(self, request_id: str, end_ms: float) -> None:
         """Note that a slot is taken, and when it should be free again."""
-        self._ends.set(request_id, end_ms)
+        self._end_times.set(request_id, end_ms)
 
-    def ended(self, request_id: str) -> None:
+    def record_end(self, request_id: str) -> None:
         """Note that a slot is free again."""
-        self._ends.discard(request_id)
+        self._end_times.discard(request_id)
 
-    def _wanted(self, rank: int, now_ms: float) -> tuple[float, float]:
+    def _higher_tier_demand(self, rank: int, now_ms: float) -> tuple[float, float]:
         """Return slots wanted by higher tiers and how long they can wait."""
         slots = 0.0
         patience_ms = math.inf
--- a/src/pomelolane/scheduler/waiting.py
+++ b/src/pomelolane/scheduler/waiting.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingRequest:
     """One waiting request.
 
     Attributes:
@@ -42,7 +42,7 @@
     long_decode_tokens: int
     queued: bool = True
     last_start_ms: float = 0.0
-    middle_start_ms: float = 0.0
+    typical_start_ms: float = 0.0
     safe_start_ms: float = 0.0
     deferred: bool = False
     predicted_wait_ms: float = 0.0
