--- a/src/pomelolane/scheduler/__init__.py
+++ b/src/pomelolane/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Who goes first, where, and who is refused: the decisions under load.
+"""Scheduling cores: order, placement and admission of a service's requests.
 
 Importing the package registers the built-in placement policies.
 """
--- a/src/pomelolane/scheduler/accounting.py
+++ b/src/pomelolane/scheduler/accounting.py
@@ -83,7 +83,7 @@
 
     def __init__(self, endpoint: Endpoint, *, learn_speeds: bool = True) -> None:
         self.endpoint = endpoint
-        self.running: dict[str, RunningRequest] = {}
+        self.running_requests: dict[str, RunningRequest] = {}
         self.leaving = endpoint.leaving
         self.kv_used_tokens = 0
         self.prefill_tokens_ahead = 0
@@ -118,7 +118,7 @@
 
     def free_slots(self, now_ms: float) -> int:
         """Return slots neither used by own flights nor reported as used."""
-        free = self.slots - len(self.running)
+        free = self.slots - len(self.running_requests)
         if not self._foreign:
             return free
         return free - round(self._foreign_load(now_ms))
@@ -147,14 +147,14 @@
     def slot_wait_ms(self, now_ms: float) -> float:
         """Predict when a slot is free and the prompts ahead are done."""
         wait_ms = self.prefill_ahead_ms(now_ms)
-        if self.free_slots(now_ms) > 0 or not self.running:
+        if self.free_slots(now_ms) > 0 or not self.running_requests:
             return wait_ms
-        first_end_ms = min(f.expected_end_ms for f in self.running.values())
+        first_end_ms = min(f.expected_end_ms for f in self.running_requests.values())
         return max(wait_ms, first_end_ms - now_ms)
 
     def add(self, request: RunningRequest, now_ms: float) -> None:
         """Account for a grant."""
-        self.running[request.handle.request_id] = request
+        self.running_requests[request.handle.request_id] = request
         self.kv_used_tokens += request.kv_tokens
         self._record_count(now_ms)
         if request.started:
@@ -176,7 +176,7 @@
 
     def remove(self, request: RunningRequest, now_ms: float) -> None:
         """Free what a flight held."""
-        del self.running[request.handle.request_id]
+        del self.running_requests[request.handle.request_id]
         self.kv_used_tokens -= request.kv_tokens
         self._record_count(now_ms)
         if not request.started:
@@ -236,7 +236,7 @@
 
     def _record_count(self, now_ms: float) -> None:
         self._history_ms.append(now_ms)
-        self._history_count.append(len(self.running))
+        self._history_count.append(len(self.running_requests))
         if len(self._history_ms) > 2 * _HISTORY_LENGTH:
             del self._history_ms[:_HISTORY_LENGTH]
             del self._history_count[:_HISTORY_LENGTH]
--- a/src/pomelolane/scheduler/admission.py
+++ b/src/pomelolane/scheduler/admission.py
@@ -1,7 +1,7 @@
-"""Who may wait, who is refused, and when a refused caller should come back.
+"""Admission control: which requests may wait, and when refused ones may retry.
 
-All refusals say "not run" and are decided at once: on arrival where that can be
-known, otherwise as soon as the measured speeds rule the deadline out.
+Every refusal has the outcome "not run". A request is refused on arrival where
+possible, otherwise as soon as measured speeds make its deadline unreachable.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 
 
 class WaitCorrection:
-    """How much longer a queue takes than speeds and slots alone suggest."""
+    """Learns, per tier, the ratio of actual to predicted queueing time."""
 
     def __init__(self) -> None:
         self._factors: dict[int, float] = {}
 
     def factor(self, rank: int) -> float:
-        """Return the learnt factor of a tier."""
+        """Return the learnt ratio of a tier."""
         return self._factors.get(rank, 1.0)
 
     def learn(self, rank: int, predicted_ms: float, waited_ms: float) -> None:
-        """Compare the plain prediction of a wait with what came of it."""
+        """Update the ratio from one granted request."""
         if predicted_ms < _MIN_SAMPLE_WAIT_MS:
             return
         sample = min(_MAX_CORRECTION, max(_MIN_CORRECTION, waited_ms / predicted_ms))
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionResult:
-    """What is to be done with a request that wants to wait.
+    """Result of the admission check of a new request.
 
     Attributes:
-        refusal: Refuse it, or None.
-        displaced: Waiting request that gives its place, or None.
-        predicted_wait_ms: Plain prediction of its wait.
+        refusal: Refusal of the request, None where it is admitted.
+        displaced: Waiting request to refuse in its favour, or None.
+        predicted_wait_ms: Predicted queueing time, uncorrected; 0 if not predicted.
     """
 
     refusal: Refusal | None = None
@@ -65,13 +65,13 @@
 
 
 class Admission:
-    """Decides on a service's waiting places.
+    """Decides which requests may enter a service's queue.
 
     Args:
         fleet: The service's endpoints.
         queue: The service's queue.
-        prefixes: Record of cached prefixes.
-        options: Switches of the core.
+        prefixes: Index of cached prefixes.
+        options: Options of the core.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self._options = options
 
     def admit(self, waiting: WaitingRequest, now_ms: float) -> AdmissionResult:
-        """Decide on a new request."""
+        """Admit or refuse a new request."""
         refusal = self._refuse_impossible(waiting, now_ms)
         if refusal is not None:
             return AdmissionResult(refusal)
@@ -107,12 +107,12 @@
         return self._displace_or_refuse(waiting, predicted_ms, now_ms)
 
     def predict_latest_start(self, waiting: WaitingRequest, now_ms: float) -> None:
-        """Predict until when a request can begin and still be in time.
+        """Set the latest start times at which a request still meets its deadline.
 
-        A new request is refused when a middling answer would be late. One that
-        waits goes behind the others when a long answer would be late, and is
-        refused when even a short one would be: until then no lower tier may be
-        said to have taken its place.
+        A new request is refused when a typical answer would be late. A waiting
+        one is deferred when a long answer would be late, and refused only when
+        even a short one would be, so that no lower tier takes a place that it
+        could still have used.
         """
         waiting.last_start_ms = waiting.deadline_ms
         waiting.typical_start_ms = waiting.deadline_ms
@@ -128,7 +128,7 @@
         )
 
     def expired_refusal(self, waiting: WaitingRequest, now_ms: float) -> Refusal:
-        """Return the refusal of a request that cannot be in time any more."""
+        """Return the refusal of a request that can no longer meet its deadline."""
         reason = Reason.DEADLINE_UNREACHABLE
         if now_ms >= waiting.deadline_ms:
             reason = Reason.DEADLINE_PASSED
@@ -138,14 +138,14 @@
         return Refusal(Outcome.NOT_RUN, reason, self._retry_after_ms(rank, now_ms))
 
     def displaced_refusal(self, rank: int, now_ms: float) -> Refusal:
-        """Return the refusal of a request that gives its place."""
+        """Return the refusal of a request that is displaced from the full queue."""
         retry_ms = self._retry_after_ms(rank, now_ms)
         return Refusal(Outcome.NOT_RUN, Reason.DISPLACED, retry_ms)
 
     def _refuse_impossible(
         self, waiting: WaitingRequest, now_ms: float
     ) -> Refusal | None:
-        """Refuse what no endpoint could do in time even with nothing ahead."""
+        """Refuse a request that no endpoint could finish in time even when idle."""
         handle = waiting.handle
         if not self._has_usable_endpoint(waiting):
             retry_ms = int(self._fleet.retry_ms(now_ms)) or _MIN_RETRY_MS
@@ -168,7 +168,7 @@
     def _best_service_ms(
         self, waiting: WaitingRequest, now_ms: float
     ) -> tuple[float, float, float]:
-        """Return the shortest times of a short, a middling and a long answer."""
+        """Return the shortest service times of a short, typical and long answer."""
         prefill = waiting.handle.prefill_tokens
         fastest = self._fleet.summary(now_ms).fastest
         candidates = [(account, prefill) for account in fastest]
@@ -190,7 +190,7 @@
     def _endpoints_with_prefix(
         self, waiting: WaitingRequest
     ) -> list[tuple[EndpointState, int]]:
-        """Return endpoints that hold a prefix, with what they need not skip."""
+        """Return endpoints with a cached prefix, and the prompt tokens left to do."""
         hashes = waiting.handle.prefix_hashes
         if not self._options.affinity or not hashes:
             return []
@@ -205,7 +205,10 @@
         return found
 
     def _predicted_wait_ms(self, waiting: WaitingRequest, now_ms: float) -> float:
-        """Predict a wait; of the higher tiers only now and then, to learn from."""
+        """Predict the queueing time; for higher tiers, only for a sample of requests.
+
+        Their prediction refuses nothing; the sample is for `WaitCorrection`.
+        """
         if not len(self._queue):
             return 0.0
         if waiting.handle.tier_rank < self.lowest_tier_rank:
@@ -220,10 +223,10 @@
     def _misses_deadline_after(
         self, waiting: WaitingRequest, wait_ms: float, now_ms: float
     ) -> bool:
-        """Tell whether the queue ahead rules the deadline out.
+        """Return whether the predicted wait makes the deadline unreachable.
 
-        The prediction refuses work of the lowest tier only: if it was wrong,
-        the place of a higher tier's request would go to a lower one.
+        Only the lowest tier is refused by this prediction: a wrong prediction for
+        a higher tier would give the place of its request to a lower one.
         """
         if not self._options.predict_wait or self._fleet.has_open():
             return False
@@ -235,7 +238,7 @@
     def _displace_or_refuse(
         self, waiting: WaitingRequest, predicted_ms: float, now_ms: float
     ) -> AdmissionResult:
-        """Find whom a new request displaces from a full queue."""
+        """Choose a request to displace from the full queue, or refuse the new one."""
         rank = waiting.handle.tier_rank
         lowest = self._queue.lowest_rank()
         victim = None
@@ -249,7 +252,7 @@
         return AdmissionResult(Refusal(Outcome.NOT_RUN, Reason.QUEUE_FULL, retry_ms))
 
     def _retry_after_ms(self, rank: int, now_ms: float) -> int:
-        """Return when what waits at a tier and above should be gone."""
+        """Return the predicted time until the queue of a tier and above is drained."""
         if not self._fleet.summary(now_ms).by_speed:
             wait_ms = self._fleet.retry_ms(now_ms)
         else:
--- a/src/pomelolane/scheduler/core.py
+++ b/src/pomelolane/scheduler/core.py
@@ -1,7 +1,8 @@
-"""The decision core of one service: queue, admission, placement and reserve.
+"""The default scheduling core of one service.
 
-It does no I/O and reads no clock; every event comes in by a method, which
-returns the decisions that became possible.
+It combines queue, admission, placement and burst reserve. It does no I/O and
+reads no clock: each event is passed to a method, which returns the decisions
+that the event made possible.
 """
 
 from __future__ import annotations
@@ -41,11 +42,11 @@
 
 
 class PomelolaneCore:
-    """Our placement policy.
+    """Scheduling core of the default placement policy, "pomelolane".
 
     Args:
-        service_name: The service it decides for.
-        options: Switches of its rules.
+        service_name: Service whose requests it schedules.
+        options: Enabled rules and their constants.
     """
 
     def __init__(self, service_name: str, options: CoreOptions) -> None:
@@ -78,7 +79,7 @@
         self._sequence = count()
 
     def configure(self, tree: Tree, now_ms: float) -> Sequence[Decision]:
-        """Adopt a settings tree (endpoints, weights, limits)."""
+        """Apply a settings tree (endpoints, weights, limits)."""
         service = tree.services.get(self._service)
         kind = service.kind if service else ServiceKind.ENGINE
         if service:
@@ -101,7 +102,7 @@
         return self._dispatch(now_ms)
 
     def submit(self, handle: Handle, now_ms: float) -> Sequence[Decision]:
-        """Queue a request; a request id already known is ignored."""
+        """Queue a request, or refuse it; ignore a request id that is already known."""
         request_id = handle.request_id
         if request_id in self._waiting or request_id in self._running:
             return []
@@ -126,7 +127,7 @@
         return decisions
 
     def register_running(self, running: RunningHandle, now_ms: float) -> None:
-        """Account for a request dispatched under an earlier scheduler."""
+        """Register a running request that an earlier scheduler dispatched."""
         handle = running.handle
         worker = self._fleet.workers.get(running.endpoint_id)
         if worker is None or handle.request_id in self._running:
@@ -139,7 +140,7 @@
         self._running.register(waiting, placement, running, now_ms)
 
     def withdraw(self, request_id: str, now_ms: float) -> Sequence[Decision]:
-        """Forget a waiting request, or free a granted one's slot."""
+        """Remove a waiting request, or free the slot of a running one."""
         waiting = self._waiting.get(request_id)
         if waiting is not None:
             self._remove_waiting(waiting)
@@ -149,13 +150,13 @@
         return self._dispatch(now_ms)
 
     def observe(self, event: StreamEvent, now_ms: float) -> Sequence[Decision]:
-        """Learn from a stream; frees the slot when finished."""
+        """Update estimates from a stream event; free the slot when it has finished."""
         if not self._running.observe(event, now_ms):
             return []
         return self._dispatch(now_ms)
 
     def report_load(self, report: LoadReport, now_ms: float) -> Sequence[Decision]:
-        """Correct own accounting by an engine's report."""
+        """Correct the estimated load of an endpoint by its load report."""
         worker = self._fleet.workers.get(report.endpoint_id)
         if worker is None:
             return []
@@ -164,11 +165,11 @@
         return self._dispatch(now_ms)
 
     def report_cache(self, event: CacheEvent, now_ms: float) -> None:
-        """Correct the record of cached prefixes."""
+        """Correct the index of cached prefixes by a cache event."""
         self._prefixes.apply_event(event, now_ms)
 
     def mark_leaving(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
-        """Grant nothing more to an endpoint."""
+        """Stop granting requests to an endpoint."""
         worker = self._fleet.workers.get(endpoint_id)
         if worker is None or worker.account.leaving:
             return []
@@ -177,7 +178,7 @@
         return self._dispatch(now_ms)
 
     def mark_returned(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
-        """Take back a mark; an endpoint declared as leaving stays out."""
+        """Undo `mark_leaving`, unless the settings declare the endpoint as leaving."""
         worker = self._fleet.workers.get(endpoint_id)
         if worker is None or worker.account.leaving == worker.declared_leaving:
             return []
@@ -186,12 +187,12 @@
         return self._dispatch(now_ms)
 
     def limit_slots(self, share: float, now_ms: float) -> Sequence[Decision]:
-        """Use only a share (0..1] of each endpoint's slots (cut-off mode)."""
+        """Use only a share (0..1] of each endpoint's slots, during a partition."""
         self._fleet.limit_slots(share, now_ms)
         return self._dispatch(now_ms)
 
     def tick(self, now_ms: float) -> Sequence[Decision]:
-        """Expire deadlines, probe stragglers; call every 50 ms or so."""
+        """Expire deadlines and probe unhealthy endpoints; call about every 50 ms."""
         self._running.check(now_ms)
         decisions = self._expire(now_ms)
         decisions.extend(self._dispatch(now_ms))
@@ -200,14 +201,14 @@
         return decisions
 
     def status(self) -> dict[str, EndpointFigures]:
-        """Return the figures of the endpoints, for operators."""
+        """Return speed and health of each endpoint, for operators."""
         return {
             endpoint_id: figures_of_worker(worker)
             for endpoint_id, worker in self._fleet.workers.items()
         }
 
     def placement_of(self, request_id: str) -> Placement | None:
-        """Return the prediction behind a running request's grant, for logs."""
+        """Return the prediction on which a running request was granted, for logs."""
         return self._running.placement_of(request_id)
 
     def _make_waiting(self, handle: Handle, now_ms: float) -> WaitingRequest:
@@ -250,7 +251,7 @@
         return Decision(waiting.handle.request_id, refusal)
 
     def _expire(self, now_ms: float) -> list[Decision]:
-        """Refuse what cannot be in time any more, by the speeds of now."""
+        """Refuse requests that can no longer meet their deadline at current speeds."""
         decisions: list[Decision] = []
         while self._checks and self._checks[0][0] < now_ms:
             waiting = heapq.heappop(self._checks)[2]
@@ -267,7 +268,7 @@
         return decisions
 
     def _defer_or_wait(self, waiting: WaitingRequest, now_ms: float) -> None:
-        """Look again when a long answer, or else any, would be late."""
+        """Schedule the next check; defer a request whose long answer would be late."""
         if waiting.safe_start_ms >= now_ms:
             self._schedule_check(waiting.safe_start_ms, waiting)
             return
@@ -275,7 +276,7 @@
         self._schedule_check(waiting.last_start_ms, waiting)
 
     def _dispatch(self, now_ms: float) -> list[Decision]:
-        """Grant slots until nothing more can go."""
+        """Grant slots until no waiting request can be placed."""
         decisions: list[Decision] = []
         self._fleet.reopen_ready(now_ms)
         while self._waiting and self._fleet.has_open():
@@ -286,7 +287,7 @@
         return decisions
 
     def _next_grant(self, now_ms: float) -> Decision | None:
-        """Grant one slot to the first request that can use one."""
+        """Grant one slot to the first request in queue order that can be placed."""
         held: set[str] = set()
         for rank in self._queue.ranks():
             requests = self._queue.scan(rank)
@@ -315,23 +316,23 @@
         return placement
 
     def _yields_to_others(self, waiting: WaitingRequest) -> bool:
-        """Tell whether a deferred request leaves its chance to others.
+        """Return whether a deferred request must let others of its tier go first.
 
-        Its answer may be cut and its prefill lost, so any request of its tier
-        that has time for a long answer makes better use of the slot.
+        The deadline may cut its answer and waste its prefill, so a request of the
+        same tier with time for a long answer makes better use of the slot.
         """
         if not self._options.sure_first:
             return False
         return not self._queue.all_deferred(waiting.handle.tier_rank)
 
     def _may_dispatch(self, waiting: WaitingRequest, now_ms: float) -> bool:
-        """Tell whether limits and the reserve let a request have a slot."""
+        """Return whether concurrency limits and the burst reserve allow a grant."""
         if self._running.park_if_limited(waiting.handle):
             return False
         return self._reserve_allows(waiting, now_ms)
 
     def _reserve_allows(self, waiting: WaitingRequest, now_ms: float) -> bool:
-        """Tell whether the reserve leaves room for a request."""
+        """Return whether the burst reserve allows a grant."""
         if not self._options.reserve:
             return True
         handle = waiting.handle
@@ -342,7 +343,7 @@
         return self._reserve.allows(handle.tier_rank, hold_ms, summary.slots, now_ms)
 
     def _send_probes(self, now_ms: float) -> list[Decision]:
-        """Send one request to each endpoint that is due a probe."""
+        """Grant one request to each endpoint whose probe is due."""
         decisions: list[Decision] = []
         for worker in self._fleet.probes_due(now_ms):
             chosen = self._out_of_order.select_for_probe(worker, now_ms)
@@ -369,7 +370,7 @@
 
 
 def make_core_with(options: CoreOptions) -> Callable[[str], SchedulingCore]:
-    """Return a factory of cores that follow some options."""
+    """Return a factory of cores with the given options."""
 
     def make(service_name: str) -> SchedulingCore:
         return PomelolaneCore(service_name, options)
@@ -379,5 +380,5 @@
 
 @register(PLACEMENT_POLICIES, "pomelolane")
 def make_core(service_name: str) -> SchedulingCore:
-    """Make the core of our own policy."""
+    """Create a core of the default policy."""
     return PomelolaneCore(service_name, CoreOptions())
--- a/src/pomelolane/scheduler/estimate.py
+++ b/src/pomelolane/scheduler/estimate.py
@@ -117,9 +117,9 @@
                 math.ceil(each * size) - 1 for each in _QUANTILES
             )
             self.has_enough = size >= _MIN_ANSWERS
-        short, middle, long = self._quantile_indices
+        short, typical, long = self._quantile_indices
         self.short = self._sorted[short]
-        self.typical = self._sorted[middle]
+        self.typical = self._sorted[typical]
         self.long = self._sorted[long]
 
     def _estimate_full_ratio(self, ratio: float) -> float:
@@ -156,10 +156,10 @@
         ratios = self._ratios.get((work, organisation), _UNKNOWN)
         if not ratios.has_enough:
             ratios = self._ratios_by_work.get(work, _UNKNOWN)
-        middle = max(1, round(expected_tokens * ratios.typical))
-        long = max(middle, round(expected_tokens * ratios.long))
-        short = min(middle, max(1, round(expected_tokens * ratios.short)))
-        return ExpectedLength(short, middle, long)
+        typical = max(1, round(expected_tokens * ratios.typical))
+        long = max(typical, round(expected_tokens * ratios.long))
+        short = min(typical, max(1, round(expected_tokens * ratios.short)))
+        return ExpectedLength(short, typical, long)
 
     def learn(
         self,
--- a/src/pomelolane/scheduler/fleet.py
+++ b/src/pomelolane/scheduler/fleet.py
@@ -121,7 +121,7 @@
             account.leaving = True
             # As if declared as leaving, so that a new declaration reopens it.
             account.update_declaration(replace(account.endpoint, leaving=True))
-            if not worker.account.running:
+            if not worker.account.running_requests:
                 self._close(worker)
                 del self.workers[endpoint_id]
                 self._unhealthy.pop(endpoint_id, None)
--- a/src/pomelolane/scheduler/health.py
+++ b/src/pomelolane/scheduler/health.py
@@ -64,7 +64,7 @@
 
     def record_grant(self, state: EndpointState, now_ms: float) -> None:
         """Note a grant: silence counts from the first flight on."""
-        if len(state.running) <= 1:
+        if len(state.running_requests) <= 1:
             self._last_event_ms = now_ms
         if self.state is not HealthState.HEALTHY:
             self._probe_ms = now_ms + self._probe_backoff_ms
@@ -96,7 +96,7 @@
 
     def check(self, state: EndpointState, now_ms: float) -> None:
         """Look for silence and overdue first tokens; call often."""
-        if self.state is not HealthState.HEALTHY or not state.running:
+        if self.state is not HealthState.HEALTHY or not state.running_requests:
             return
         if self._is_silent(state, now_ms) and self._is_overdue(state, now_ms):
             self._mark_straggling(now_ms, float("inf"))
@@ -105,7 +105,7 @@
         """Tell whether an unhealthy endpoint should get one request."""
         if now_ms < self._probe_ms:
             return False
-        return not any(request.probe for request in state.running.values())
+        return not any(request.probe for request in state.running_requests.values())
 
     def retry_ms(self, now_ms: float) -> float:
         """Return when the next probe may go out."""
@@ -117,7 +117,7 @@
 
     def _is_overdue(self, state: EndpointState, now_ms: float) -> bool:
         """Tell whether any flight should have been heard of by now."""
-        for request in state.running.values():
+        for request in state.running_requests.values():
             if request.started:
                 return True
             allowed_ms = _OVERDUE_FACTOR * (
--- a/src/pomelolane/scheduler/placement.py
+++ b/src/pomelolane/scheduler/placement.py
@@ -1,7 +1,8 @@
-"""Chooses the endpoint of a request by its predicted time.
+"""Chooses the endpoint of a request by predicted completion time.
 
-The prediction counts prompts ahead, observed speeds, a cached prefix and the way
-to another data centre; a busy endpoint that would still be sooner is waited for.
+The prediction covers prompts ahead, observed speeds, cached prefixes and the
+latency to another data centre. A request may wait for a busy endpoint that is
+predicted to finish it sooner than any free one.
 """
 
 from __future__ import annotations
@@ -32,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A request's prediction on one endpoint.
+    """Predicted times of a request on one endpoint.
 
     Attributes:
         worker: The endpoint.
-        wait_ms: Predicted time until it can take the request, 0 for now.
-        ahead_ms: Prompts ahead of the request there.
-        cached_tokens: Prompt tokens expected in its cache.
-        prefill_tokens: Prompt tokens to be processed.
+        wait_ms: Predicted time until the endpoint has a free slot, 0 if it has one.
+        ahead_ms: Predicted time to process the prompts ahead of the request.
+        cached_tokens: Prompt tokens expected in the endpoint's prefix cache.
+        prefill_tokens: Prompt tokens left to process.
         first_token_ms: Predicted time to the first token, wait included.
         total_ms: Predicted time to the last token, wait included.
-        long_ms: The same for an answer that few exceed in length.
-        score: What is compared between endpoints: the total, and the cost of
-            processing again what another endpoint has in its cache.
+        long_ms: The same for a long answer.
+        score: Value to minimise between endpoints: `total_ms` plus the weighted
+            cost of processing prompt tokens that another endpoint may have cached.
     """
 
     worker: Worker
@@ -59,12 +60,12 @@
 
 
 class Placer:
-    """Scores endpoints for requests.
+    """Scores the endpoints for a request and chooses one.
 
     Args:
         fleet: The service's endpoints.
-        prefixes: Record of cached prefixes.
-        options: Switches of the core.
+        prefixes: Index of cached prefixes.
+        options: Options of the core.
     """
 
     def __init__(
@@ -81,12 +82,12 @@
 
         Args:
             waiting: The request.
-            held: Endpoints that earlier requests wait for; one is added when
-                this request should wait for it.
-            now_ms: The time.
+            held: Endpoints held for requests earlier in the order. If this request
+                should wait for a busy endpoint, that endpoint is added.
+            now_ms: Current time.
 
         Returns:
-            None where the request should wait.
+            The placement, or None if the request should wait.
         """
         handle = waiting.handle
         holders = self._holders(handle)
@@ -104,15 +105,15 @@
     def place_for_short_answer(
         self, waiting: WaitingRequest, held: set[str], now_ms: float
     ) -> Placement | None:
-        """Return the free endpoint where a short answer would be in time soonest.
+        """Return the free endpoint that would finish a short answer soonest.
 
         Args:
-            waiting: A request that a middling answer would make late.
-            held: Endpoints that other requests wait for.
-            now_ms: The time.
+            waiting: A request whose typical answer would be late.
+            held: Endpoints held for other requests.
+            now_ms: Current time.
 
         Returns:
-            None where even a short answer would be late.
+            The placement, or None if even a short answer would be late.
         """
         soonest: Placement | None = None
         soonest_ms = waiting.deadline_ms - now_ms
@@ -127,7 +128,7 @@
     def in_time_if_short(
         self, waiting: WaitingRequest, worker: Worker, now_ms: float
     ) -> Placement | None:
-        """Return the prediction on one endpoint if a short answer would be in time."""
+        """Return the prediction for one endpoint if a short answer would be in time."""
         if not _fits(worker, waiting, set()):
             return None
         placement = self.predict(waiting, worker, 0.0, now_ms)
@@ -135,7 +136,7 @@
         return None if is_late else placement
 
     def hold_for_memory(self, waiting: WaitingRequest, held: set[str]) -> None:
-        """Keep an endpoint from lower tiers until a request's KV cache fits."""
+        """Hold one endpoint for a request until the request's KV cache fits."""
         tokens = waiting.cost_tokens
         for worker in self._fleet.open_workers(_MAX_OPEN_CANDIDATES):
             if not _is_allowed(worker, waiting, held):
@@ -148,7 +149,7 @@
     def predict(
         self, waiting: WaitingRequest, worker: Worker, wait_ms: float, now_ms: float
     ) -> Placement:
-        """Predict a request on one endpoint."""
+        """Predict the times of a request on one endpoint."""
         handle = waiting.handle
         account = worker.account
         cached = 0
@@ -180,10 +181,10 @@
     def in_time(
         self, waiting: WaitingRequest, placement: Placement, now_ms: float
     ) -> bool:
-        """Tell whether a prediction meets the request's deadline.
+        """Return whether a placement is predicted to meet the deadline.
 
-        A deferred request has no time for a long answer any more; it gets its
-        chance where a middling one would be in time with room to spare.
+        A deferred request no longer has time for a long answer; a typical one must
+        be in time with a larger margin.
         """
         if waiting.deferred:
             factor = self._options.chance_factor
@@ -197,12 +198,12 @@
     def _leaves_time_to_spare(
         self, waiting: WaitingRequest, placement: Placement, now_ms: float
     ) -> bool:
-        """Tell whether a prediction leaves much of the time that is left."""
+        """Return whether even a long answer uses only part of the remaining time."""
         remaining_ms = waiting.deadline_ms - now_ms
         return placement.long_ms <= _WAIT_REMAINING_SHARE * remaining_ms
 
     def _prefill_cost_ms(self, prefill_tokens: int) -> float:
-        """Return the time of a prompt on an average endpoint."""
+        """Return the time to process a prompt on an average endpoint."""
         per_ms = self._fleet.prefill_per_ms
         return prefill_tokens / per_ms if per_ms > 0 else 0.0
 
@@ -293,7 +294,7 @@
 
 
 def _short_answer_ms(waiting: WaitingRequest, placement: Placement) -> float:
-    """Return the predicted time to the end of a short answer."""
+    """Return the predicted time to the last token of a short answer."""
     account = placement.worker.account
     prompt = placement.prefill_tokens
     start_ms = placement.first_token_ms - account.unqueued_first_token_ms(prompt)
--- a/src/pomelolane/scheduler/queue.py
+++ b/src/pomelolane/scheduler/queue.py
@@ -1,7 +1,8 @@
-"""The waiting requests of one service, in the order in which they go.
+"""Queue of one service's waiting requests.
 
-Tiers are strict; inside a tier, teams and then organisations share by tokens
-with start-time fair queueing, and an organisation's own requests go by deadline.
+Tiers have strict priority. Inside a tier, start-time fair queueing shares tokens
+by weight, first between teams and then between the organisations of a team. The
+requests of one organisation are ordered by deadline.
 """
 
 from __future__ import annotations
@@ -25,7 +26,15 @@
 
 @dataclass(slots=True, eq=False)
 class _Share:
-    """Position of a team or an organisation in its parent's virtual time."""
+    """Virtual time of a team or an organisation in weighted fair queueing.
+
+    Attributes:
+        weight: Its weight among its siblings.
+        virtual_time: Tokens charged so far, divided by the weight.
+        min_virtual_time: Lower bound for children that become active.
+        correction: Tokens to add to the next charge.
+        in_heap: Whether the parent's heap holds it.
+    """
 
     weight: float = 1.0
     virtual_time: float = 0.0
@@ -74,11 +83,11 @@
 
 
 class FairQueue:
-    """Tier, then team, then organisation, then deadline; O(log n) a step.
+    """Orders by tier, team, organisation and deadline, at O(log n) per operation.
 
     Args:
-        fair_shares: Whether organisations share by weight; otherwise all
-            requests of a tier go by deadline.
+        fair_shares: Whether teams and organisations share by weight; otherwise
+            all requests of a tier are ordered by deadline.
     """
 
     def __init__(self, *, fair_shares: bool = True) -> None:
@@ -97,7 +106,7 @@
     def set_weights(
         self, teams: dict[str, float], organisations: dict[str, float]
     ) -> None:
-        """Adopt the weights of a settings tree."""
+        """Apply the weights of a settings tree."""
         self._team_weights = teams
         self._organisation_weights = organisations
         for tier in self._tiers.values():
@@ -123,7 +132,7 @@
         self._activate(tier, organisation)
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Take a request out without charging anybody."""
+        """Remove a request without charging its organisation."""
         if not waiting.queued:
             return
         waiting.queued = False
@@ -139,7 +148,7 @@
             _subtract_tokens(waiting, tier, organisation)
 
     def take(self, waiting: WaitingRequest) -> None:
-        """Take a request out for a grant and charge its organisation."""
+        """Remove a granted request and charge its team and organisation."""
         self.remove(waiting)
         if not self._fair_shares:
             return
@@ -152,7 +161,7 @@
         team.charge(waiting.cost_tokens)
 
     def defer(self, waiting: WaitingRequest) -> None:
-        """Let a request go after all others of its organisation."""
+        """Order a request after all others of its organisation."""
         if waiting.deferred or not waiting.queued:
             return
         tier = self._tiers[waiting.handle.tier_rank]
@@ -164,26 +173,26 @@
         heapq.heappush(organisation.by_deadline, entry)
 
     def all_deferred(self, rank: int) -> bool:
-        """Tell whether every waiting request of a tier is deferred."""
+        """Return whether every waiting request of a tier is deferred."""
         return self._tiers[rank].deferred == len(self._tiers[rank].by_arrival)
 
     def has_deferred(self, rank: int) -> bool:
-        """Tell whether any waiting request of a tier is deferred."""
+        """Return whether any waiting request of a tier is deferred."""
         return self._tiers[rank].deferred > 0
 
     def correct(self, handle: Handle, tokens: float) -> None:
-        """Add to (or give back) what an organisation was charged."""
+        """Adjust the charge of an organisation and its team; negative tokens refund."""
         tier = self._tier(handle.tier_rank)
         organisation = self._organisation(tier, handle)
         organisation.correction += tokens
         organisation.team.correction += tokens
 
     def park(self, organisation: str) -> None:
-        """Pass over an organisation until it is unparked."""
+        """Skip an organisation until `unpark` is called."""
         self._parked.add(organisation)
 
     def unpark(self, organisation: str) -> None:
-        """Consider an organisation again."""
+        """Stop skipping an organisation."""
         if organisation not in self._parked:
             return
         self._parked.discard(organisation)
@@ -198,10 +207,10 @@
         return [rank for rank in self._ranks if self._tiers[rank].by_arrival]
 
     def scan(self, rank: int) -> Generator[WaitingRequest, None, None]:
-        """Yield a tier's requests in the order in which they should go.
+        """Yield candidates of a tier in the order in which they should be granted.
 
-        The caller may take or remove the yielded request; if it does not,
-        the next one is tried. Requests passed over keep their place.
+        The caller may take or remove the request just yielded. Requests that it
+        skips keep their position.
         """
         tier = self._tiers[rank]
         skipped: list[_Organisation] = []
@@ -214,17 +223,17 @@
                 self._push_active(tier, organisation)
 
     def newest(self, rank: int) -> WaitingRequest | None:
-        """Return the request of a tier that came last."""
+        """Return the request of a tier that arrived last."""
         tier = self._tiers.get(rank)
         if tier is None or not tier.by_arrival:
             return None
         return tier.by_arrival[next(reversed(tier.by_arrival))]
 
     def newest_over_share(self, handle: Handle) -> WaitingRequest | None:
-        """Return the last request of the organisation furthest over its share.
+        """Return the newest request of the organisation furthest over its share.
 
-        Only an organisation that has more waiting for its weight than the
-        asking one would have with one more counts.
+        Only organisations count that have more waiting requests per weight than
+        the requesting one would have with one more.
         """
         tier = self._tier(handle.tier_rank)
         requester = self._organisation(tier, handle)
@@ -240,7 +249,7 @@
         return found.by_arrival[next(reversed(found.by_arrival))]
 
     def backlog(self, rank: int) -> Backlog:
-        """Return what waits at a tier or above."""
+        """Return the work that waits in a tier and the tiers above it."""
         tiers = [self._tiers[other] for other in self._ranks if other <= rank]
         return Backlog(
             sum(len(tier.by_arrival) for tier in tiers),
@@ -249,11 +258,11 @@
         )
 
     def backlog_ahead(self, handle: Handle, deadline_ms: float) -> Backlog:
-        """Return about what would go before a new request.
+        """Estimate the work that would be granted before a new request.
 
-        That is everything of higher tiers, and of its own tier what its
-        organisation has with an earlier deadline, with what the others are
-        served meanwhile.
+        That is all work of higher tiers, the requests of its own organisation
+        with an earlier deadline, and what other organisations of its tier are
+        granted meanwhile by their shares.
         """
         tier = self._tier(handle.tier_rank)
         organisation = self._organisation(tier, handle)
@@ -296,7 +305,7 @@
         return None
 
     def _activate(self, tier: _Tier, organisation: _Organisation) -> None:
-        """Make an organisation eligible that had nothing waiting."""
+        """Put an organisation that had nothing waiting into the heaps."""
         if organisation.in_heap or organisation.name in self._parked:
             return
         team = organisation.team
@@ -343,15 +352,15 @@
 
 
 def _is_current_entry(entry: tuple[float, int, WaitingRequest]) -> bool:
-    """Tell whether a heap entry is its request's current one."""
+    """Return whether a heap entry is the current one of a queued request."""
     return entry[2].queued and entry[0] == entry[2].order_ms
 
 
 def _candidates(organisation: _Organisation) -> Iterator[WaitingRequest]:
-    """Yield the first requests by deadline, and then the one that came last.
+    """Yield the first requests by deadline, then the newest one.
 
-    The last one has most time left, so it may fit an endpoint that is too slow
-    for the first ones.
+    The newest usually has most time left, so it may fit an endpoint that is too
+    slow for the others.
     """
     passed: list[tuple[float, int, WaitingRequest]] = []
     try:
@@ -373,7 +382,7 @@
 def _subtract_tokens(
     waiting: WaitingRequest, tier: _Tier, organisation: _Organisation
 ) -> None:
-    """Take a request's tokens out of what waits."""
+    """Subtract a request's tokens from the sums of waiting work."""
     for counts in (tier, organisation):
         counts.prefill_tokens -= waiting.handle.prefill_tokens
         counts.decode_tokens -= waiting.decode_tokens
@@ -384,7 +393,7 @@
 
 
 def _share_of_tier(tier: _Tier, organisation: _Organisation) -> float:
-    """Return the part of a tier that is an organisation's while others wait."""
+    """Return an organisation's share of its tier among those with waiting requests."""
     team = organisation.team
     rivals = [o for o in team.organisations.values() if o.by_arrival]
     teams = [
@@ -399,7 +408,7 @@
 
 
 def _part_due_earlier(organisation: _Organisation, deadline_ms: float) -> float:
-    """Return about what part of an organisation's queue is due earlier."""
+    """Estimate the fraction of an organisation's queue with an earlier deadline."""
     head = organisation.head()
     if head is None or deadline_ms <= head.deadline_ms:
         return 0.0
--- a/src/pomelolane/scheduler/running.py
+++ b/src/pomelolane/scheduler/running.py
@@ -58,13 +58,13 @@
     def __init__(self, tracked: TrackedState, options: CoreOptions) -> None:
         self._tracked = tracked
         self._options = options
-        self._running: dict[str, RunningRequest] = {}
+        self._requests: dict[str, RunningRequest] = {}
         self._placements: dict[str, Placement] = {}
         self._recent = RecentIds()
         self._parked: dict[str, str] = {}
 
     def __contains__(self, request_id: str) -> bool:
-        return request_id in self._running or request_id in self._recent
+        return request_id in self._requests or request_id in self._recent
 
     def placement_of(self, request_id: str) -> Placement | None:
         """Return the prediction behind a flight."""
@@ -95,7 +95,7 @@
         Returns:
             False where it belongs to no flight.
         """
-        request = self._running.get(event.request_id)
+        request = self._requests.get(event.request_id)
         if request is None:
             return False
         worker = self._placements[event.request_id].worker
@@ -117,7 +117,7 @@
 
     def end(self, request_id: str, now_ms: float) -> RunningRequest | None:
         """Free what a flight holds."""
-        request = self._running.pop(request_id, None)
+        request = self._requests.pop(request_id, None)
         if request is None:
             return None
         worker = self._placements.pop(request_id).worker
@@ -133,7 +133,7 @@
         self._recent.purge(now_ms)
         for worker in self._tracked.fleet.workers.values():
             account = worker.account
-            if self._options.stragglers and account.running:
+            if self._options.stragglers and account.running_requests:
                 self._check_health(worker, now_ms)
             if worker.open_key is None and account.has_foreign_load:
                 self._tracked.fleet.refresh(worker, now_ms)
@@ -168,7 +168,7 @@
         worker = placement.worker
         request_id = request.handle.request_id
         request.probe = worker.health.state is not HealthState.HEALTHY
-        self._running[request_id] = request
+        self._requests[request_id] = request
         self._placements[request_id] = placement
         worker.account.add(request, now_ms)
         worker.health.record_grant(worker.account, now_ms)
