--- a/src/pomelolane/forwarding/usage_exchange.py
+++ b/src/pomelolane/forwarding/usage_exchange.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.messages import ToldUse, UsesTold
-from pomelolane.scheduler.spans import Use
+from pomelolane.scheduler.rate_limiting import TokenUse
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
@@ -63,11 +63,11 @@
         self._membership = membership
         self._transport = transport
         self._clock = clock
-        self._usage_by_source: dict[tuple[str, str], list[tuple[float, Use]]] = {}
+        self._usage_by_source: dict[tuple[str, str], list[tuple[float, TokenUse]]] = {}
         self._guess_reports: dict[str, tuple[float, float]] = {}
         self._has_read = False
         self.on_role_released: Callable[[str], None] = _ignore_release
-        self.on_usage: Callable[[tuple[str, str], list[Use], bool], None] = (
+        self.on_usage: Callable[[tuple[str, str], list[TokenUse], bool], None] = (
             _ignore_usage
         )
         transport.subscribe(UsesTold, self._on_usage_told)
@@ -79,7 +79,7 @@
     def send_final_usage(
         self,
         service: str,
-        uses: Sequence[Use],
+        uses: Sequence[TokenUse],
         *,
         next_vms: Iterable[str],
         guess_part: float,
@@ -121,7 +121,7 @@
         self,
         vm_ids: Iterable[str],
         service: str,
-        uses: Sequence[Use],
+        uses: Sequence[TokenUse],
         *,
         adds: bool = False,
         account: str = "",
@@ -163,7 +163,7 @@
     def _store_relayed(
         self,
         source: tuple[str, str],
-        timed_uses: list[tuple[float, Use]],
+        timed_uses: list[tuple[float, TokenUse]],
         now_ms: float,
     ) -> None:
         """Keep usage of a third VM for the roles that this VM takes later.
@@ -186,10 +186,10 @@
         reported_ms, part = self._guess_reports.get(service, (-inf, 1.0))
         return part if self._clock.now_ms() - reported_ms < REPORT_MAX_AGE_MS else 1.0
 
-    def cache_recorded(self, recorded: Sequence[Use]) -> None:
+    def cache_recorded(self, recorded: Sequence[TokenUse]) -> None:
         """Keep recorded usage, to relay it to schedulers that cannot read the store."""
         now_ms = self._clock.now_ms()
-        accounts: dict[tuple[str, str], list[tuple[float, Use]]] = {}
+        accounts: dict[tuple[str, str], list[tuple[float, TokenUse]]] = {}
         for use in recorded:
             accounts.setdefault(use.source, []).append((now_ms, use))
         for source, uses in accounts.items():
@@ -201,11 +201,11 @@
         has_read, self._has_read = self._has_read, False
         return has_read
 
-    def merge(self, recorded: Sequence[Use]) -> list[Use]:
+    def merge(self, recorded: Sequence[TokenUse]) -> list[TokenUse]:
         """Merge recorded usage with direct reports; the newer of each source counts."""
         now_ms = self._clock.now_ms()
         self._drop_expired(now_ms)
-        accounts: dict[tuple[str, str], list[Use]] = {}
+        accounts: dict[tuple[str, str], list[TokenUse]] = {}
         for use in recorded:
             accounts.setdefault(use.source, []).append(use)
         for source, timed_uses in self._usage_by_source.items():
@@ -228,7 +228,7 @@
         scheduler = message.account or sender
         source = message.service, scheduler
         uses = [
-            Use(
+            TokenUse(
                 told.organisation,
                 told.age_ms,
                 told.tokens,
@@ -262,20 +262,22 @@
     return f"{vm_id}/{incarnation}"
 
 
-def _encode_uses(uses: Iterable[Use]) -> tuple[ToldUse, ...]:
+def _encode_uses(uses: Iterable[TokenUse]) -> tuple[ToldUse, ...]:
     return tuple(
         ToldUse(use.organisation, use.age_ms, use.tokens, use.bound) for use in uses
     )
 
 
-def _aged(timed_uses: Iterable[tuple[float, Use]], now_ms: float) -> list[Use]:
+def _aged(
+    timed_uses: Iterable[tuple[float, TokenUse]], now_ms: float
+) -> list[TokenUse]:
     return [
         replace(use, age_ms=use.age_ms + int(now_ms - at_ms))
         for at_ms, use in timed_uses
     ]
 
 
-def _youngest_ms(uses: Iterable[Use]) -> float:
+def _youngest_ms(uses: Iterable[TokenUse]) -> float:
     return min((use.age_ms for use in uses), default=inf)
 
 
@@ -283,5 +285,5 @@
     """Serve as the default `on_role_released` callback."""
 
 
-def _ignore_usage(source: tuple[str, str], uses: list[Use], adds: bool) -> None:
+def _ignore_usage(source: tuple[str, str], uses: list[TokenUse], adds: bool) -> None:
     """Serve as the default `on_usage` callback."""
--- a/src/pomelolane/forwarding/usage_publisher.py
+++ b/src/pomelolane/forwarding/usage_publisher.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from pomelolane.coordination import Coordination, ServiceQueue
     from pomelolane.forwarding.usage_exchange import UsageExchange
-    from pomelolane.scheduler.spans import Use
+    from pomelolane.scheduler.rate_limiting import TokenUse
 
 _PRIVATE_ACCOUNT_SUFFIX = "/alone"
 """Suffix of the account for what a gateway admits while it reaches no scheduler."""
@@ -129,7 +129,7 @@
         self,
         service: str,
         receivers: frozenset[str],
-        uses: list[Use],
+        uses: list[TokenUse],
         *,
         adds: bool = False,
         guess_part: float | None = None,
@@ -154,7 +154,7 @@
         )
 
     def _apply_usage(
-        self, source: tuple[str, str], uses: list[Use], adds: bool
+        self, source: tuple[str, str], uses: list[TokenUse], adds: bool
     ) -> None:
         for desk in self._desks_except(source):
             desk.account.hear(source, uses, adds=adds)
--- a/src/pomelolane/scheduler/queue.py
+++ b/src/pomelolane/scheduler/queue.py
@@ -1,7 +1,8 @@
-"""The waiting requests of one service, in the order in which they go.
+"""Queue of one service's waiting requests.
 
-Tiers are strict; inside a tier, teams and then organisations share by tokens
-with start-time fair queueing, and an organisation's own requests go by deadline.
+Tiers have strict priority. Inside a tier, start-time fair queueing shares tokens
+by weight, first between teams and then between the organisations of a team. The
+requests of one organisation are ordered by deadline.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from pomelolane.scheduler.waiting import Backlog, Waiting
+from pomelolane.scheduler.waiting import Backlog, WaitingRequest
 
 if TYPE_CHECKING:
     from collections.abc import Generator, Iterator
@@ -25,13 +26,21 @@
 
 @dataclass(slots=True, eq=False)
 class _Share:
-    """Position of a team or an organisation in its parent's virtual time."""
+    """Virtual time of a team or an organisation in weighted fair queueing.
+
+    Attributes:
+        weight: Its weight among its siblings.
+        virtual_time: Tokens charged so far, divided by the weight.
+        min_virtual_time: Lower bound for children that become active.
+        correction: Tokens to add to the next charge.
+        in_heap: Whether the parent's heap holds it.
+    """
 
     weight: float = 1.0
     virtual_time: float = 0.0
-    floor: float = 0.0
+    min_virtual_time: float = 0.0
     correction: float = 0.0
-    listed: bool = False
+    in_heap: bool = False
 
     def charge(self, tokens: float) -> None:
         self.virtual_time += max(0.0, tokens + self.correction) / self.weight
@@ -41,17 +50,17 @@
 @dataclass(slots=True, eq=False)
 class _Organisation(_Share):
     team: _Team = None  # type: ignore[assignment]
-    by_deadline: list[tuple[float, int, Waiting]] = field(default_factory=list)
-    by_arrival: OrderedDict[str, Waiting] = field(default_factory=OrderedDict)
+    by_deadline: list[tuple[float, int, WaitingRequest]] = field(default_factory=list)
+    by_arrival: OrderedDict[str, WaitingRequest] = field(default_factory=OrderedDict)
     name: str = ""
     prefill_tokens: int = 0
     decode_tokens: int = 0
     latest_ms: float = 0.0
 
-    def head(self) -> Waiting | None:
+    def head(self) -> WaitingRequest | None:
         """Return the request with the nearest deadline."""
         heap = self.by_deadline
-        while heap and not _stands(heap[0]):
+        while heap and not _is_current_entry(heap[0]):
             heapq.heappop(heap)
         return heap[0][2] if heap else None
 
@@ -64,21 +73,21 @@
 
 @dataclass(slots=True, eq=False)
 class _Tier:
-    floor: float = 0.0
+    min_virtual_time: float = 0.0
     teams: dict[str, _Team] = field(default_factory=dict)
     heap: list[tuple[float, int, _Team]] = field(default_factory=list)
-    by_arrival: OrderedDict[str, Waiting] = field(default_factory=OrderedDict)
+    by_arrival: OrderedDict[str, WaitingRequest] = field(default_factory=OrderedDict)
     prefill_tokens: int = 0
     decode_tokens: int = 0
     deferred: int = 0
 
 
 class FairQueue:
-    """Tier, then team, then organisation, then deadline; O(log n) a step.
+    """Orders by tier, team, organisation and deadline, at O(log n) per operation.
 
     Args:
-        fair_shares: Whether organisations share by weight; otherwise all
-            requests of a tier go by deadline.
+        fair_shares: Whether teams and organisations share by weight; otherwise
+            all requests of a tier are ordered by deadline.
     """
 
     def __init__(self, *, fair_shares: bool = True) -> None:
@@ -97,7 +106,7 @@
     def set_weights(
         self, teams: dict[str, float], organisations: dict[str, float]
     ) -> None:
-        """Adopt the weights of a settings tree."""
+        """Apply the weights of a settings tree."""
         self._team_weights = teams
         self._organisation_weights = organisations
         for tier in self._tiers.values():
@@ -106,7 +115,7 @@
                 for key, organisation in team.organisations.items():
                     organisation.weight = _positive(organisations.get(key, 1.0))
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: WaitingRequest) -> None:
         """Add a request."""
         handle = waiting.handle
         tier = self._tier(handle.tier_rank)
@@ -120,10 +129,10 @@
             counts.decode_tokens += waiting.decode_tokens
         organisation.latest_ms = max(organisation.latest_ms, waiting.deadline_ms)
         self._length += 1
-        self._list(tier, organisation)
+        self._activate(tier, organisation)
 
-    def remove(self, waiting: Waiting) -> None:
-        """Take a request out without charging anybody."""
+    def remove(self, waiting: WaitingRequest) -> None:
+        """Remove a request without charging its organisation."""
         if not waiting.queued:
             return
         waiting.queued = False
@@ -136,54 +145,54 @@
         if waiting.deferred:
             tier.deferred -= 1
         else:
-            _uncount(waiting, tier, organisation)
+            _subtract_tokens(waiting, tier, organisation)
 
-    def take(self, waiting: Waiting) -> None:
-        """Take a request out for a grant and charge its organisation."""
+    def take(self, waiting: WaitingRequest) -> None:
+        """Remove a granted request and charge its team and organisation."""
         self.remove(waiting)
         if not self._fair_shares:
             return
         tier = self._tiers[waiting.handle.tier_rank]
         organisation = self._organisation(tier, waiting.handle)
         team = organisation.team
-        tier.floor = max(tier.floor, team.virtual_time)
-        team.floor = max(team.floor, organisation.virtual_time)
+        tier.min_virtual_time = max(tier.min_virtual_time, team.virtual_time)
+        team.min_virtual_time = max(team.min_virtual_time, organisation.virtual_time)
         organisation.charge(waiting.cost_tokens)
         team.charge(waiting.cost_tokens)
 
-    def defer(self, waiting: Waiting) -> None:
-        """Let a request go after all others of its organisation."""
+    def defer(self, waiting: WaitingRequest) -> None:
+        """Order a request after all others of its organisation."""
         if waiting.deferred or not waiting.queued:
             return
         tier = self._tiers[waiting.handle.tier_rank]
         organisation = self._organisation(tier, waiting.handle)
-        _uncount(waiting, tier, organisation)
+        _subtract_tokens(waiting, tier, organisation)
         waiting.deferred = True
         tier.deferred += 1
         entry = (waiting.order_ms, next(self._sequence), waiting)
         heapq.heappush(organisation.by_deadline, entry)
 
     def all_deferred(self, rank: int) -> bool:
-        """Tell whether every waiting request of a tier is deferred."""
+        """Return whether every waiting request of a tier is deferred."""
         return self._tiers[rank].deferred == len(self._tiers[rank].by_arrival)
 
     def has_deferred(self, rank: int) -> bool:
-        """Tell whether any waiting request of a tier is deferred."""
+        """Return whether any waiting request of a tier is deferred."""
         return self._tiers[rank].deferred > 0
 
     def correct(self, handle: Handle, tokens: float) -> None:
-        """Add to (or give back) what an organisation was charged."""
+        """Adjust the charge of an organisation and its team; negative tokens refund."""
         tier = self._tier(handle.tier_rank)
         organisation = self._organisation(tier, handle)
         organisation.correction += tokens
         organisation.team.correction += tokens
 
     def park(self, organisation: str) -> None:
-        """Pass over an organisation until it is unparked."""
+        """Skip an organisation until `unpark` is called."""
         self._parked.add(organisation)
 
     def unpark(self, organisation: str) -> None:
-        """Consider an organisation again."""
+        """Stop skipping an organisation."""
         if organisation not in self._parked:
             return
         self._parked.discard(organisation)
@@ -191,44 +200,44 @@
             for team in tier.teams.values():
                 found = team.organisations.get(organisation)
                 if found is not None and found.by_arrival:
-                    self._list(tier, found)
+                    self._activate(tier, found)
 
     def ranks(self) -> list[int]:
         """Return the ranks of tiers with waiting requests, highest tier first."""
         return [rank for rank in self._ranks if self._tiers[rank].by_arrival]
 
-    def scan(self, rank: int) -> Generator[Waiting, None, None]:
-        """Yield a tier's requests in the order in which they should go.
+    def scan(self, rank: int) -> Generator[WaitingRequest, None, None]:
+        """Yield candidates of a tier in the order in which they should be granted.
 
-        The caller may take or remove the yielded request; if it does not,
-        the next one is tried. Requests passed over keep their place.
+        The caller may take or remove the request just yielded. Requests that it
+        skips keep their position.
         """
         tier = self._tiers[rank]
-        aside: list[_Organisation] = []
+        skipped: list[_Organisation] = []
         try:
             while (organisation := self._pop_first(tier)) is not None:
-                aside.append(organisation)
-                yield from _tries(organisation)
+                skipped.append(organisation)
+                yield from _candidates(organisation)
         finally:
-            for organisation in aside:
-                self._put_back(tier, organisation)
+            for organisation in skipped:
+                self._push_active(tier, organisation)
 
-    def youngest(self, rank: int) -> Waiting | None:
-        """Return the request of a tier that came last."""
+    def newest(self, rank: int) -> WaitingRequest | None:
+        """Return the request of a tier that arrived last."""
         tier = self._tiers.get(rank)
         if tier is None or not tier.by_arrival:
             return None
         return tier.by_arrival[next(reversed(tier.by_arrival))]
 
-    def youngest_over_share(self, handle: Handle) -> Waiting | None:
-        """Return the last request of the organisation furthest over its share.
+    def newest_over_share(self, handle: Handle) -> WaitingRequest | None:
+        """Return the newest request of the organisation furthest over its share.
 
-        Only an organisation that has more waiting for its weight than the
-        asking one would have with one more counts.
+        Only organisations count that have more waiting requests per weight than
+        the requesting one would have with one more.
         """
         tier = self._tier(handle.tier_rank)
-        asking = self._organisation(tier, handle)
-        most = (len(asking.by_arrival) + 1) / asking.weight
+        requester = self._organisation(tier, handle)
+        most = (len(requester.by_arrival) + 1) / requester.weight
         found = None
         for team in tier.teams.values():
             for organisation in team.organisations.values():
@@ -240,7 +249,7 @@
         return found.by_arrival[next(reversed(found.by_arrival))]
 
     def backlog(self, rank: int) -> Backlog:
-        """Return what waits at a tier or above."""
+        """Return the work that waits in a tier and the tiers above it."""
         tiers = [self._tiers[other] for other in self._ranks if other <= rank]
         return Backlog(
             sum(len(tier.by_arrival) for tier in tiers),
@@ -249,16 +258,18 @@
         )
 
     def backlog_ahead(self, handle: Handle, deadline_ms: float) -> Backlog:
-        """Return about what would go before a new request.
+        """Estimate the work that would be granted before a new request.
 
-        That is everything of higher tiers, and of its own tier what its
-        organisation has with an earlier deadline, with what the others are
-        served meanwhile.
+        That is all work of higher tiers, the requests of its own organisation
+        with an earlier deadline, and what other organisations of its tier are
+        granted meanwhile by their shares.
         """
         tier = self._tier(handle.tier_rank)
         organisation = self._organisation(tier, handle)
         above = self.backlog(handle.tier_rank - 1)
-        part = _earlier_part(organisation, deadline_ms) / _share(tier, organisation)
+        part = _part_due_earlier(organisation, deadline_ms) / _share_of_tier(
+            tier, organisation
+        )
         return Backlog(
             above.requests
             + min(len(tier.by_arrival), part * len(organisation.by_arrival)),
@@ -282,38 +293,40 @@
             if organisation is not None:
                 return organisation
             heapq.heappop(tier.heap)
-            team.listed = False
+            team.in_heap = False
         return None
 
     def _pop_first_of_team(self, team: _Team) -> _Organisation | None:
         while team.heap:
             _, _, organisation = heapq.heappop(team.heap)
-            organisation.listed = False
+            organisation.in_heap = False
             if organisation.by_arrival and organisation.name not in self._parked:
                 return organisation
         return None
 
-    def _list(self, tier: _Tier, organisation: _Organisation) -> None:
-        """Make an organisation eligible that had nothing waiting."""
-        if organisation.listed or organisation.name in self._parked:
+    def _activate(self, tier: _Tier, organisation: _Organisation) -> None:
+        """Put an organisation that had nothing waiting into the heaps."""
+        if organisation.in_heap or organisation.name in self._parked:
             return
         team = organisation.team
-        if not team.listed:
-            team.virtual_time = max(team.virtual_time, tier.floor)
-        organisation.virtual_time = max(organisation.virtual_time, team.floor)
-        self._put_back(tier, organisation)
+        if not team.in_heap:
+            team.virtual_time = max(team.virtual_time, tier.min_virtual_time)
+        organisation.virtual_time = max(
+            organisation.virtual_time, team.min_virtual_time
+        )
+        self._push_active(tier, organisation)
 
-    def _put_back(self, tier: _Tier, organisation: _Organisation) -> None:
-        if organisation.listed or not organisation.by_arrival:
+    def _push_active(self, tier: _Tier, organisation: _Organisation) -> None:
+        if organisation.in_heap or not organisation.by_arrival:
             return
         if organisation.name in self._parked:
             return
         team = organisation.team
-        organisation.listed = True
+        organisation.in_heap = True
         entry = (organisation.virtual_time, next(self._sequence), organisation)
         heapq.heappush(team.heap, entry)
-        if not team.listed:
-            team.listed = True
+        if not team.in_heap:
+            team.in_heap = True
             heapq.heappush(tier.heap, (team.virtual_time, next(self._sequence), team))
 
     def _tier(self, rank: int) -> _Tier:
@@ -338,18 +351,18 @@
         return organisation
 
 
-def _stands(entry: tuple[float, int, Waiting]) -> bool:
-    """Tell whether a heap entry is its request's current one."""
+def _is_current_entry(entry: tuple[float, int, WaitingRequest]) -> bool:
+    """Return whether a heap entry is the current one of a queued request."""
     return entry[2].queued and entry[0] == entry[2].order_ms
 
 
-def _tries(organisation: _Organisation) -> Iterator[Waiting]:
-    """Yield the first requests by deadline, and then the one that came last.
+def _candidates(organisation: _Organisation) -> Iterator[WaitingRequest]:
+    """Yield the first requests by deadline, then the newest one.
 
-    The last one has most time left, so it may fit an endpoint that is too slow
-    for the first ones.
+    The newest usually has most time left, so it may fit an endpoint that is too
+    slow for the others.
     """
-    passed: list[tuple[float, int, Waiting]] = []
+    passed: list[tuple[float, int, WaitingRequest]] = []
     try:
         while len(passed) < _MAX_TRIES_PER_ORGANISATION:
             head = organisation.head()
@@ -366,8 +379,10 @@
             heapq.heappush(organisation.by_deadline, entry)
 
 
-def _uncount(waiting: Waiting, tier: _Tier, organisation: _Organisation) -> None:
-    """Take a request's tokens out of what waits."""
+def _subtract_tokens(
+    waiting: WaitingRequest, tier: _Tier, organisation: _Organisation
+) -> None:
+    """Subtract a request's tokens from the sums of waiting work."""
     for counts in (tier, organisation):
         counts.prefill_tokens -= waiting.handle.prefill_tokens
         counts.decode_tokens -= waiting.decode_tokens
@@ -377,8 +392,8 @@
     return weight if weight > 0 else _SMALLEST_WEIGHT
 
 
-def _share(tier: _Tier, organisation: _Organisation) -> float:
-    """Return the part of a tier that is an organisation's while others wait."""
+def _share_of_tier(tier: _Tier, organisation: _Organisation) -> float:
+    """Return an organisation's share of its tier among those with waiting requests."""
     team = organisation.team
     rivals = [o for o in team.organisations.values() if o.by_arrival]
     teams = [
@@ -392,8 +407,8 @@
     return own * team.weight / sum(other.weight for other in teams)
 
 
-def _earlier_part(organisation: _Organisation, deadline_ms: float) -> float:
-    """Return about what part of an organisation's queue is due earlier."""
+def _part_due_earlier(organisation: _Organisation, deadline_ms: float) -> float:
+    """Estimate the fraction of an organisation's queue with an earlier deadline."""
     head = organisation.head()
     if head is None or deadline_ms <= head.deadline_ms:
         return 0.0
