--- a/src/pomelolane/membership/contacts.py
+++ b/src/pomelolane/membership/contacts.py
@@ -91,7 +91,7 @@
         contact.since_ms = now_ms
         return is_new
 
-    def heard(self, vm_id: str, now_ms: float) -> None:
+    def record_heard(self, vm_id: str, now_ms: float) -> None:
         """Record that a message of a VM arrived and end its probe backoff."""
         contact = self._contacts.get(vm_id)
         if contact is not None:
@@ -103,7 +103,7 @@
         """Return the data centres of all contacts."""
         return {contact.data_centre for contact in self._contacts.values()}
 
-    def due(
+    def due_probes(
         self, data_centre: str, alive: Iterable[str], count: int, now_ms: float
     ) -> list[str]:
         """Return up to ``count`` VMs to probe now, the longest overdue first."""
@@ -115,7 +115,7 @@
         skipped = set(alive)
         names = [vm_id for _, vm_id in sorted(silent) if vm_id not in skipped]
         for vm_id in names[:count]:
-            self._note_probe(self._contacts[vm_id], now_ms)
+            self._schedule_next_probe(self._contacts[vm_id], now_ms)
         return names[:count]
 
     def expire(self, now_ms: float) -> list[str]:
@@ -130,7 +130,7 @@
             self._addresses.forget(vm_id)
         return old
 
-    def _note_probe(self, contact: _Contact, now_ms: float) -> None:
+    def _schedule_next_probe(self, contact: _Contact, now_ms: float) -> None:
         contact.next_probe_ms = now_ms + contact.interval_ms
         if not contact.certain:
             contact.interval_ms = min(contact.interval_ms * 2, PROBE_INTERVAL_MAX_MS)
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -13,7 +13,7 @@
 from pomelolane.logs import log_event
 from pomelolane.membership.digests import DIGEST_TIMEOUT_MS, DigestTable, newer_state
 from pomelolane.membership.hashing import hash_of_digest
-from pomelolane.membership.heartbeat import INTERVAL_MS
+from pomelolane.membership.heartbeat import HEARTBEAT_INTERVAL_MS
 from pomelolane.membership.remotes import RemoteMembers
 from pomelolane.membership.rendezvous import choose_several
 from pomelolane.membership.view import peer_from_state
@@ -29,8 +29,8 @@
     from pomelolane.messages import Heartbeat
     from pomelolane.ports import Peer
 
-DELEGATES = 2
-PROBES = 3
+DELEGATES_PER_DATA_CENTRE = 2
+MAX_REMOTE_PROBES = 3
 """VMs of a silent data centre that are contacted at one heartbeat."""
 
 INHERITED_SOURCE = ""
@@ -42,7 +42,9 @@
 ) -> tuple[str, ...]:
     """Choose a data centre's delegates, draining VMs only if all are draining."""
     staying = [vm_id for vm_id, draining in draining_by_vm.items() if not draining]
-    return choose_several(data_centre, staying or draining_by_vm, DELEGATES)
+    return choose_several(
+        data_centre, staying or draining_by_vm, DELEGATES_PER_DATA_CENTRE
+    )
 
 
 class DigestExchange:
@@ -69,7 +71,7 @@
         self._sent: dict[str, int] = {}
         self._replied_ms: dict[str, float] = {}
         self._last_hash = -1
-        self._beats = 0
+        self._rounds = 0
         self._advertise_until_ms = 0.0
         self.is_delegate = False
         context.transport.subscribe(Digest, self._handle_digest)
@@ -159,12 +161,12 @@
         self._direct.restart_timeouts(now_ms)
         self._relayed.restart_timeouts(now_ms)
 
-    def beat(self, now_ms: float) -> None:
+    def send_digests(self, now_ms: float) -> None:
         """As a delegate, send the periodic digest or pulse."""
         if not self.is_delegate:
             return
-        self._beats += 1
-        digest = self.own()
+        self._rounds += 1
+        digest = self.own_digest()
         digest_hash = hash_of_digest(digest)
         self._last_hash = digest_hash
         for vm_id in self._recipients(now_ms):
@@ -174,7 +176,7 @@
         """As a delegate, send this data centre's digest at once if it changed."""
         if not self.is_delegate:
             return
-        digest = self.own()
+        digest = self.own_digest()
         digest_hash = hash_of_digest(digest)
         if digest_hash == self._last_hash:
             return
@@ -182,7 +184,7 @@
         for vm_id in self.remote_delegates():
             self._send_digest(vm_id, digest, digest_hash)
 
-    def own(self, *, reply: bool = False) -> Digest:
+    def own_digest(self, *, reply: bool = False) -> Digest:
         """Return the current digest of this data centre."""
         context = self._context
         heartbeats = list(context.table.heartbeats())
@@ -227,7 +229,7 @@
         local = sender in context.table
         table = self._relayed if local else self._direct
         table.put(sender, digest, context.heard_ms())
-        context.contacts.heard(sender, now_ms)
+        context.contacts.record_heard(sender, now_ms)
         self._on_digest(sender, digest)
         self._on_change()
         if not local and not digest.reply:
@@ -247,7 +249,7 @@
     def _handle_wanted(self, sender: str, wanted: DigestWanted) -> None:
         context = self._context
         if wanted.data_centre == context.data_centre:
-            context.transport.send(sender, self.own())
+            context.transport.send(sender, self.own_digest())
             return
         merged = self._direct.merged(wanted.data_centre)
         if merged is not None and sender in context.table:
@@ -258,10 +260,13 @@
         # members. Corrections are rate-limited, and a reply is never replied to.
         if self.is_delegate:
             return
-        if now_ms - self._replied_ms.get(sender, -INTERVAL_MS) < INTERVAL_MS:
+        if (
+            now_ms - self._replied_ms.get(sender, -HEARTBEAT_INTERVAL_MS)
+            < HEARTBEAT_INTERVAL_MS
+        ):
             return
         self._replied_ms[sender] = now_ms
-        self._context.transport.send(sender, self.own(reply=True))
+        self._context.transport.send(sender, self.own_digest(reply=True))
 
     # --- helpers ------------------------------------------------------------
 
@@ -275,16 +280,18 @@
     def _recipients(self, now_ms: float) -> list[str]:
         # Sends to the delegates of a data centre in turn: each hears from two
         # delegates of every data centre once a second, at half the traffic.
-        targets = []
+        recipients = []
         for data_centre in sorted(self.data_centres()):
             delegates = self._delegates_of(data_centre)
             if delegates:
-                targets.append(delegates[self._beats % len(delegates)])
+                recipients.append(delegates[self._rounds % len(delegates)])
         contacts = self._context.contacts
         silent = contacts.data_centres() - set(self._direct.data_centres())
         for data_centre in sorted(silent - {self._context.data_centre}):
-            targets += contacts.due(data_centre, targets, PROBES, now_ms)
-        return targets
+            recipients += contacts.due_probes(
+                data_centre, recipients, MAX_REMOTE_PROBES, now_ms
+            )
+        return recipients
 
     def _delegates_of(self, data_centre: str) -> tuple[str, ...]:
         states = self._states(data_centre).values()
--- a/src/pomelolane/membership/heartbeat.py
+++ b/src/pomelolane/membership/heartbeat.py
@@ -1,7 +1,7 @@
 """Failure detection by heartbeats for the VMs of this data centre.
 
-A VM is alive while it is heard at least every :data:`SILENCE_MS`, whatever the
-delays of other VMs are.
+A VM is alive while it is heard at least every :data:`HEARTBEAT_TIMEOUT_MS`, whatever
+the delays of other VMs are.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
     from pomelolane.messages import Heartbeat
 
-INTERVAL_MS = 500.0
-SILENCE_MS = 1600.0
+HEARTBEAT_INTERVAL_MS = 500.0
+HEARTBEAT_TIMEOUT_MS = 1600.0
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
         silent = {
             vm_id: now_ms - record.heard_ms
             for vm_id, record in self._records.items()
-            if now_ms - record.heard_ms > SILENCE_MS
+            if now_ms - record.heard_ms > HEARTBEAT_TIMEOUT_MS
         }
         for vm_id in silent:
             del self._records[vm_id]
--- a/src/pomelolane/membership/links.py
+++ b/src/pomelolane/membership/links.py
@@ -17,17 +17,17 @@
     from pomelolane.membership.keys import ClusterKeys
     from pomelolane.ports import Clock
 
-MAX_QUEUED = 1000
+MAX_QUEUED_MESSAGES = 1000
 MAX_BATCH_MESSAGES = 64
 MAX_BATCH_BYTES = 256 * 1024
-MAX_WAIT_MS = 1000.0
-RETRY_S = 0.02
+MAX_QUEUE_TIME_MS = 1000.0
+FLUSH_RETRY_S = 0.02
 RECONNECT_MS = 100
 RECONNECT_MAX_MS = 400
 UNACKNOWLEDGED_MAX_MS = 2000
 HANDSHAKE_MAX_MS = 2000
 CLOSE_LINGER_MS = 200
-SOCKET_QUEUE = 16
+SEND_HIGH_WATER_MARK = 16
 VM_PROPERTY = "X-Vm"
 """Connection property that carries the connecting VM's id."""
 
@@ -72,9 +72,9 @@
 
     def put(self, data: bytes) -> bool:
         """Queue an encoded message; return False if the queue is full."""
-        if len(self._queue) >= MAX_QUEUED:
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._drop_overdue()
-        if len(self._queue) >= MAX_QUEUED:
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             return False
         self._queue.append((self._clock.now_ms(), data))
         if self._timer is None:
@@ -96,7 +96,7 @@
         while self._queue:
             if not self._send_batch():
                 loop = asyncio.get_running_loop()
-                self._timer = loop.call_later(RETRY_S, self._flush)
+                self._timer = loop.call_later(FLUSH_RETRY_S, self._flush)
                 return
 
     def _send_batch(self) -> bool:
@@ -124,7 +124,7 @@
         return batch
 
     def _drop_overdue(self) -> None:
-        limit_ms = self._clock.now_ms() - MAX_WAIT_MS
+        limit_ms = self._clock.now_ms() - MAX_QUEUE_TIME_MS
         while self._queue and self._queue[0][0] < limit_ms:
             self._queue.popleft()
             self.messages_dropped += 1
@@ -137,7 +137,7 @@
     socket.setsockopt(zmq.METADATA, f"{VM_PROPERTY}:{vm_id}".encode())
     socket.setsockopt(zmq.LINGER, CLOSE_LINGER_MS)
     socket.setsockopt(zmq.IMMEDIATE, 1)
-    socket.setsockopt(zmq.SNDHWM, SOCKET_QUEUE)
+    socket.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
     socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
     socket.setsockopt(zmq.TCP_MAXRT, UNACKNOWLEDGED_MAX_MS)
--- a/src/pomelolane/membership/listing.py
+++ b/src/pomelolane/membership/listing.py
@@ -19,7 +19,7 @@
     from pomelolane.membership.leaving_broadcast import LeavingBroadcast
     from pomelolane.ports import ListedVm, VmList
 
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 PLATFORM_SOURCE = "platform"
 
 
@@ -59,7 +59,7 @@
                 await self._poll()
             else:
                 self._sync_marks(frozenset())
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _poll(self) -> None:
         try:
--- a/src/pomelolane/membership/local.py
+++ b/src/pomelolane/membership/local.py
@@ -17,7 +17,7 @@
     from pomelolane.membership.context import MemberContext
     from pomelolane.messages import Message
 
-PROBES = 64
+MAX_LOCAL_PROBES = 64
 """Silent VMs of this data centre that are contacted at one heartbeat."""
 
 
@@ -49,7 +49,7 @@
         context.transport.subscribe(Pulse, self._handle_pulse)
         context.transport.subscribe(HeartbeatWanted, self._handle_wanted)
 
-    def own(self) -> Heartbeat:
+    def own_heartbeat(self) -> Heartbeat:
         """Return this VM's current heartbeat."""
         context = self._context
         state = context.state
@@ -68,20 +68,22 @@
             carries_per_s=state.carries_per_s,
         )
 
-    def beat(self, now_ms: float) -> None:
+    def send_heartbeats(self, now_ms: float) -> None:
         """Send a heartbeat or pulse to live VMs and contact silent ones."""
         self._sequence += 1
         context = self._context
         if not self.announce():
             self._broadcast(Pulse(self._announced))
         alive = [heartbeat.vm_id for heartbeat in context.table.heartbeats()]
-        silent = context.contacts.due(context.data_centre, alive, PROBES, now_ms)
+        silent = context.contacts.due_probes(
+            context.data_centre, alive, MAX_LOCAL_PROBES, now_ms
+        )
         for vm_id in silent:
-            context.transport.send(vm_id, self.own())
+            context.transport.send(vm_id, self.own_heartbeat())
 
     def announce(self, *, always: bool = False) -> bool:
         """Send the full heartbeat to all if it has changed; return whether sent."""
-        heartbeat = self.own()
+        heartbeat = self.own_heartbeat()
         state_hash = hash_of_heartbeat(heartbeat)
         if state_hash == self._announced and not always:
             return False
@@ -91,7 +93,7 @@
 
     def send_full(self, vm_id: str) -> None:
         """Send the full heartbeat to one VM."""
-        self._context.transport.send(vm_id, self.own())
+        self._context.transport.send(vm_id, self.own_heartbeat())
 
     def _broadcast(self, message: Message) -> None:
         for heartbeat in self._context.table.heartbeats():
@@ -107,7 +109,7 @@
         context.contacts.learn(
             sender, heartbeat.data_centre, heartbeat.address, heard_ms
         )
-        context.contacts.heard(sender, heard_ms)
+        context.contacts.record_heard(sender, heard_ms)
         if is_new:
             self._on_new(sender)
         self._on_heartbeat(heartbeat, True)
--- a/src/pomelolane/membership/member.py
+++ b/src/pomelolane/membership/member.py
@@ -16,7 +16,7 @@
 from pomelolane.membership.context import MemberContext, OwnState
 from pomelolane.membership.delegate import DigestExchange, choose_delegates
 from pomelolane.membership.digests import DIGEST_TIMEOUT_MS
-from pomelolane.membership.heartbeat import INTERVAL_MS, HeartbeatTable
+from pomelolane.membership.heartbeat import HEARTBEAT_INTERVAL_MS, HeartbeatTable
 from pomelolane.membership.leaving import LeavingMarks
 from pomelolane.membership.leaving_broadcast import LeavingBroadcast
 from pomelolane.membership.listing import ListReader
@@ -75,7 +75,9 @@
             self._handle_heartbeat,
         )
         self._leaving_broadcast = LeavingBroadcast(context, self._exchange)
-        self._view_publisher = ViewPublisher(peer_from_heartbeat(self._local.own()))
+        self._view_publisher = ViewPublisher(
+            peer_from_heartbeat(self._local.own_heartbeat())
+        )
         self._reader = vm_list and ListReader(
             vm_list,
             context,
@@ -89,7 +91,7 @@
         self._on_tick: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task] = []
         self._refresh_scheduled = False
-        self._next_beat_ms = 0.0
+        self._next_heartbeat_ms = 0.0
         self._next_clean_up_ms = 0.0
 
     # --- live VMs -----------------------------------------------------------
@@ -247,11 +249,11 @@
         silent_ms = context.table.expire(now_ms)
         changed = self._exchange.expire(now_ms) or self._recover(now_ms)
         changed = changed or context.marks.has_overdue(now_ms)
-        beat_is_due = now_ms >= self._next_beat_ms
-        if silent_ms or changed or beat_is_due:
+        heartbeat_is_due = now_ms >= self._next_heartbeat_ms
+        if silent_ms or changed or heartbeat_is_due:
             self._refresh(silent_ms)
-        if beat_is_due:
-            self._beat(now_ms)
+        if heartbeat_is_due:
+            self._send_heartbeats(now_ms)
         if now_ms >= self._next_clean_up_ms:
             self._clean_up(now_ms)
 
@@ -266,15 +268,15 @@
                 log_event(TASK_FAILED, task="member", error=repr(error))
             await asyncio.sleep(TICK_S)
 
-    def _beat(self, now_ms: float) -> None:
-        self._next_beat_ms = now_ms + INTERVAL_MS
-        self._local.beat(now_ms)
+    def _send_heartbeats(self, now_ms: float) -> None:
+        self._next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS
+        self._local.send_heartbeats(now_ms)
         if not self.is_stale:
-            self._exchange.beat(now_ms)
+            self._exchange.send_digests(now_ms)
 
     def _contact_listed(self) -> None:
         """Contact newly listed VMs now instead of at the next heartbeat."""
-        self._beat(self._context.clock.now_ms())
+        self._send_heartbeats(self._context.clock.now_ms())
 
     def _clean_up(self, now_ms: float) -> None:
         self._next_clean_up_ms = now_ms + CLEAN_UP_INTERVAL_MS
@@ -297,7 +299,7 @@
     def _refresh(self, silent_ms: Mapping[str, float]) -> None:
         context = self._context
         now_ms = context.clock.now_ms()
-        own = self._local.own()
+        own = self._local.own_heartbeat()
         draining = {each.vm_id: each.draining for each in context.table.heartbeats()}
         draining[context.vm_id] = own.draining
         delegates = choose_delegates(context.data_centre, draining)
@@ -315,16 +317,16 @@
 
     def _check_pause(self, now_ms: float) -> None:
         context = self._context
-        gap_ms = context.pause.gap_ms(now_ms)
-        if not gap_ms:
+        pause_ms = context.pause.pause_ms(now_ms)
+        if not pause_ms:
             return
         context.pause.begin_recovery(now_ms)
         context.table.restart_timeouts(now_ms)
         self._exchange.restart_timeouts(now_ms)
-        log_event(VM_WOKE, paused_ms=gap_ms)
+        log_event(VM_WOKE, paused_ms=pause_ms)
         self._local.announce(always=True)
         for callback in self._on_pause:
-            callback(gap_ms)
+            callback(pause_ms)
 
     def _recover(self, now_ms: float) -> bool:
         """End the recovery after a pause; return whether it ends now."""
@@ -345,7 +347,7 @@
     def _handle_new_vm(self, vm_id: str) -> None:
         # The digest gives a new VM the addresses of the others in its data centre.
         self._local.send_full(vm_id)
-        self.transport.send(vm_id, self._exchange.own(reply=True))
+        self.transport.send(vm_id, self._exchange.own_digest(reply=True))
 
     def _handle_heartbeat(self, heartbeat: Heartbeat, in_full: bool) -> None:
         self._check_pause(self._context.clock.now_ms())
@@ -353,8 +355,10 @@
         if in_full:
             self._notify_versions(heartbeat.vm_id, heartbeat.versions)
             self._schedule_refresh()
-        elif self._context.clock.now_ms() >= self._next_beat_ms - HEARTBEAT_ALIGN_MS:
-            self._beat(self._context.clock.now_ms())
+        elif (
+            self._context.clock.now_ms() >= self._next_heartbeat_ms - HEARTBEAT_ALIGN_MS
+        ):
+            self._send_heartbeats(self._context.clock.now_ms())
 
     def _handle_digest(self, sender: str, digest: Digest) -> None:
         self._check_pause(self._context.clock.now_ms())
@@ -381,22 +385,22 @@
     carries_per_s: int = 0,
     clock: Clock | None = None,
 ) -> Member:
-    """Build the member of one VM, its transport included.
+    """Build the member of one VM and its transport.
 
     Args:
-        vm_id: This VM.
-        data_centre: Where it stands.
-        incarnation: Number of this start, higher than any earlier one; the
-            wall clock at the start in milliseconds serves.
-        host: Address to listen on for VMs.
-        peer_port: Port to listen on for VMs, 0 for any free one.
-        advertise: ``ip:port`` that others are told, empty for the above.
-        seeds: VMs known from the settings.
-        address_map: This VM's own routes, which override everything.
-        keys: CURVE keys, None to talk in the clear over loopback.
-        vm_list: The platform's list, None where there is none.
-        is_endpoint: Whether an id on that list is an endpoint's.
-        carries_per_s: Requests a second that this VM can schedule, 0 for unknown.
+        vm_id: Id of this VM.
+        data_centre: Data centre of this VM.
+        incarnation: Number of this start, higher than any earlier one, such as the
+            wall clock in milliseconds at the start.
+        host: Address to listen on for other VMs.
+        peer_port: Port to listen on for other VMs, 0 for any free one.
+        advertise: ``ip:port`` announced to other VMs, empty for host and port.
+        seeds: VMs given in the settings.
+        address_map: Addresses by VM id, which override all others.
+        keys: CURVE keys, None for unencrypted messages over loopback.
+        vm_list: The platform's list of VMs, None where there is none.
+        is_endpoint: Returns whether a listed id is that of an endpoint.
+        carries_per_s: Requests per second that this VM can schedule, 0 if unknown.
         clock: Time source.
     """
     used_clock = clock or MonotonicClock()
--- a/src/pomelolane/membership/pause.py
+++ b/src/pomelolane/membership/pause.py
@@ -26,10 +26,10 @@
         """Record a tick of the event loop."""
         self._last_tick_ms = now_ms
 
-    def gap_ms(self, now_ms: float) -> float:
+    def pause_ms(self, now_ms: float) -> float:
         """Return the length in ms of the pause that ends now, 0 for none."""
-        gap_ms = now_ms - self._last_tick_ms
-        return gap_ms if gap_ms > MIN_PAUSE_MS else 0.0
+        pause_ms = now_ms - self._last_tick_ms
+        return pause_ms if pause_ms > MIN_PAUSE_MS else 0.0
 
     def begin_recovery(self, now_ms: float) -> None:
         """Begin the recovery, during which the view counts as stale."""
--- a/src/pomelolane/membership/recorded.py
+++ b/src/pomelolane/membership/recorded.py
@@ -21,7 +21,7 @@
 
 MARK_PREFIX = "leaving/"
 RECORD_SOURCE = "record"
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 UNDECLARED_RETENTION_MS = 60_000.0
 """How long the mark of an endpoint that is not declared is kept: longer than any
 VM's settings can be out of date."""
@@ -84,7 +84,7 @@
             try:
                 await self._table.commit([write], atomic=True)
             except PlatformError:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             else:
                 return
 
@@ -92,7 +92,7 @@
         """Poll until cancelled."""
         while True:
             await self.read()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def read(self) -> None:
         """Poll once; a VM that is no delegate only keeps marks recorded by itself."""
--- a/src/pomelolane/membership/transport.py
+++ b/src/pomelolane/membership/transport.py
@@ -37,7 +37,7 @@
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 MAX_READ_BATCH = 256
-RECEIVE_QUEUE = 10_000
+RECEIVE_HIGH_WATER_MARK = 10_000
 NOT_LOOPBACK = "no cluster keys are set and the address is not a loopback address"
 UNENCRYPTED_ALLOWED = "a loopback address unless cluster keys are set"
 
@@ -186,7 +186,7 @@
 
     def _bind(self) -> zmq.Socket:
         router = self._context.socket(zmq.ROUTER)
-        router.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE)
+        router.setsockopt(zmq.RCVHWM, RECEIVE_HIGH_WATER_MARK)
         router.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
         router.setsockopt(zmq.LINGER, 0)
         if self._keys is not None:
--- a/tests/membership/lone_member.py
+++ b/tests/membership/lone_member.py
@@ -16,7 +16,7 @@
     """Run the member until the input ends."""
     seeds = (Seed(seed_id, data_centre, seed_address),)
     member = make_member(vm_id, data_centre, 1, seeds=seeds)
-    member.on_pause(lambda gap_ms: print(f"paused {gap_ms:.0f}", flush=True))
+    member.on_pause(lambda pause_ms: print(f"paused {pause_ms:.0f}", flush=True))
     await member.start()
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
     await member.stop()
--- a/tests/steps/membership_member_steps.py
+++ b/tests/steps/membership_member_steps.py
@@ -297,7 +297,7 @@
 async def read_list(context, vm_id):
     """Let a member beat and read the list; no time passes between the two."""
     member = context.region.members[vm_id]
-    member._beat(member._context.clock.now_ms())
+    member._send_heartbeats(member._context.clock.now_ms())
     context.tried = []
     with mock.patch.object(
         member.transport, "send", lambda other, message: context.tried.append(other)
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -15,7 +15,7 @@
     make_transport,
 )
 from pomelolane.membership.envelope import encode_envelope
-from pomelolane.membership.links import MAX_WAIT_MS, VM_PROPERTY
+from pomelolane.membership.links import MAX_QUEUE_TIME_MS, VM_PROPERTY
 from pomelolane.messages import (
     Digest,
     DigestPulse,
@@ -360,7 +360,7 @@
 def step_back(context):
     link = context.recorders["a"].transport
     wait = lambda: link.messages_dropped == 1  # noqa: E731
-    context.run(eventually(wait, f"dropped after {MAX_WAIT_MS} ms"))
+    context.run(eventually(wait, f"dropped after {MAX_QUEUE_TIME_MS} ms"))
     start_recorder(context, "b", incarnation=2)
     introduce(context)
 
--- a/tests/steps/membership_tables_steps.py
+++ b/tests/steps/membership_tables_steps.py
@@ -218,7 +218,7 @@
 def step_try(context, seconds):
     context.tried = []
     for now_ms in range(0, seconds * 1000, 500):
-        context.tried += context.contacts.due("dca", (), 10, float(now_ms))
+        context.tried += context.contacts.due_probes("dca", (), 10, float(now_ms))
 
 
 @then("the seed was tried {seed:d} times and the other {other:d} times")
