--- a/tests/membership/lone_member.py
+++ b/tests/membership/lone_member.py
@@ -1,6 +1,6 @@
-"""One member in a process of its own, for the freeze.
+"""One member in a process of its own, which the steps freeze and resume.
 
-Prints a line when it has noticed a pause; ends at the end of its input.
+Prints a line when it detects a pause; ends at the end of its input.
 """
 
 from __future__ import annotations
--- a/tests/membership/recorded.feature
+++ b/tests/membership/recorded.feature
@@ -1,5 +1,5 @@
-Feature: Operators' marks of leaving endpoints outlive the VM that took them
-  They are kept in the platform's table, from which delegates read them.
+Feature: Operators' marks of leaving endpoints survive the VM that received them
+  They are stored in the platform's table, which delegates poll.
 
   Background:
     Given recorded marks of VM "a" and VM "b" in one table
@@ -18,14 +18,14 @@
     When VM "a" records that "e1" is leaving
     Then recorded marks make delegate "b" mark "e1"
 
-  Scenario: A mark ends with its endpoint's declaration
+  Scenario: A mark is cleared after its endpoint's declaration is removed
     Given the recorded marks' endpoint "e1" is not declared
     When VM "a" records that "e1" is leaving
     Then recorded marks make delegate "b" mark "e1"
     When recorded marks are 61 s old
     Then recorded marks make delegate "b" clear "e1"
 
-  Scenario: The VM that took the word takes it back with the declaration
+  Scenario: The VM that received the mark clears it with the declaration
     When VM "a" records that "e1" is leaving
-    And the recorded marks' endpoint "e1" is declared no more
-    Then recorded marks make "a" take the word for "e1" back
+    And the recorded marks' endpoint "e1" is no longer declared
+    Then recorded marks make "a" clear its own mark of "e1"
--- a/tests/membership/region.py
+++ b/tests/membership/region.py
@@ -1,7 +1,7 @@
 """A region of members in one process, for the membership features.
 
-They talk over real sockets; each pair of data centres has a link of the fault
-proxy's for every VM of the other side, which can be cut.
+They communicate over real sockets. Traffic between data centres passes a link of the
+fault proxy for every VM of the other side, which can be cut or frozen.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class Region:
-    """Members by VM id, started, stopped and cut off at will.
+    """Members by VM id, which can be started, stopped and partitioned.
 
     Args:
         layout: VM ids by data centre.
         keys: CURVE keys by VM id.
-        vm_list: Platform's list, for all.
+        vm_list: The platform's list of VMs, shared by all members.
     """
 
     def __init__(self, layout, keys=None, vm_list=None):
@@ -85,13 +85,13 @@
         return self._links[key]
 
     async def set_between(self, one, other, mode):
-        """Put a fault between two data centres, or end it."""
+        """Set the mode of all links between two data centres."""
         for (here, vm_id), link in self._links.items():
             if {here, self._data_centre[vm_id]} == {one, other}:
                 await link.set_mode(LinkMode(mode))
 
     async def kill(self, vm_id):
-        """End a VM without a word to the others."""
+        """End a VM without announcing it to the others."""
         member = self.members.pop(vm_id)
         await halt(member)
 
@@ -112,12 +112,12 @@
         return set(self.members[vm_id].view().peers)
 
     def agree(self):
-        """Tell whether every view holds just the VMs that run."""
+        """Return whether every view holds exactly the running VMs."""
         running = set(self.members)
         return all(self.sees(vm_id) == running for vm_id in running)
 
     def delegates(self, data_centre):
-        """Return the VMs that hold the delegate's role."""
+        """Return the delegates of a data centre."""
         return {
             vm_id
             for vm_id, member in self.members.items()
@@ -126,7 +126,7 @@
 
 
 async def halt(member):
-    """Stop a member's work and sockets without its last words."""
+    """Stop a member's tasks and transport without a final heartbeat."""
     tasks = member._tasks
     for task in tasks:
         task.cancel()
--- a/tests/membership/statements.py
+++ b/tests/membership/statements.py
@@ -1,4 +1,4 @@
-"""What members say of themselves and of their data centres, for the steps."""
+"""Builders of heartbeats and digests for the steps."""
 
 from pomelolane.messages import Digest, Heartbeat, MemberState
 
--- a/tests/membership/waiting.py
+++ b/tests/membership/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for conditions, and ending parts while the loop still runs."""
+"""Helpers to await conditions and to stop components before the loop ends."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 def stop_at_end(context, part):
-    """Stop a part while the scenario's loop still runs."""
+    """Stop a component at the scenario's end, while its loop still runs."""
 
     async def keep():
         try:
@@ -31,10 +31,10 @@
 
 
 async def eventually(condition, what):
-    """Wait until ``condition()`` holds, without a time of its own."""
+    """Poll until ``condition()`` holds, for at most :data:`WAIT_S`."""
     try:
         async with asyncio.timeout(WAIT_S):
             while not condition():  # noqa: ASYNC110 - any state of any part
                 await asyncio.sleep(0.01)
     except TimeoutError:
-        raise AssertionError(f"never came true: {what}") from None
+        raise AssertionError(f"timed out waiting for: {what}") from None
--- a/tests/steps/membership_member_steps.py
+++ b/tests/steps/membership_member_steps.py
@@ -19,13 +19,13 @@
 
 
 class FakeList:
-    """The platform's list, filled by the steps."""
+    """A platform's list of VMs that the steps fill."""
 
     def __init__(self):
         self.entries = []
 
     async def read(self):
-        """Return the list as it stands."""
+        """Return the current list."""
         return tuple(self.entries)
 
 
@@ -97,7 +97,7 @@
     context.run(context.region.start(vm_id))
 
 
-@then('every member sees "{vm_id}" in its new start')
+@then('every member sees "{vm_id}" with its new incarnation')
 def step_new_start(context, vm_id):
     members = context.region.members
     wanted = members[vm_id].incarnation
@@ -112,11 +112,11 @@
 @when('the first delegate of "{dc}" leaves')
 def step_leave(context, dc):
     context.gone = min(context.region.delegates(dc))
-    # Nobody ticks from here on, so that only its own words can remove it.
+    # No member ticks from here on, so only its final heartbeat can remove it.
     context.run(context.region.leave(context.gone))
 
 
-@then("its neighbours have dropped it without waiting for silence")
+@then("its neighbours have dropped it without waiting for a timeout")
 def step_dropped(context):
     neighbours = [
         member
@@ -125,7 +125,7 @@
     ]
     for member in neighbours:
         heard = member._context.table.find(context.gone)
-        assert heard is None, "still there after its last words"
+        assert heard is None, "still there after its final heartbeat"
 
 
 @when('the first delegate of "{dc}" is draining')
@@ -178,7 +178,7 @@
             for vm_id in near
         )
 
-    wait_for(context, apart, "the far side is gone")
+    wait_for(context, apart, "neither side sees the other")
 
 
 @then('"{name}" sees all running members')
@@ -196,7 +196,7 @@
         context.region.members[vm_id].on_change(note)
 
 
-@given("only delegates still hear the other data centre directly")
+@given("only delegates still hold digests received directly")
 def step_only_delegates(context):
     members = context.region.members.values()
 
@@ -207,7 +207,7 @@
             if not member.is_delegate
         )
 
-    wait_for(context, settled, "what was said at the start has run out")
+    wait_for(context, settled, "digests received directly have expired")
 
 
 @when('both delegates of "dca" are draining at once')
@@ -229,10 +229,10 @@
         now = region.delegates("dca")
         return len(now) == 2 and not now & context.gone
 
-    wait_for(context, moved, "the role has moved")
+    wait_for(context, moved, "two others are delegates")
     frames = region.members[min(region.delegates("dca"))].transport
     wanted = frames.frames_sent + 10
-    wait_for(context, lambda: frames.frames_sent > wanted, "further beats")
+    wait_for(context, lambda: frames.frames_sent > wanted, "further heartbeats")
 
 
 @when('both delegates of "{dc}" are killed')
@@ -248,25 +248,27 @@
         context.run(region.kill(vm_id))
 
 
-@then("nobody has ever left the view meanwhile")
+@then("no VM has left the view meanwhile")
 @then('neither the rest of "dca" nor "dcb" has ever left the other\'s view')
 def step_never_left(context):
     assert not context.missed, context.missed
 
 
-@when('member "{vm_id}" marks endpoint "{endpoint}" as leaving for "{source}"')
+@when('member "{vm_id}" marks endpoint "{endpoint}" as leaving with source "{source}"')
 def step_mark_leaving(context, vm_id, endpoint, source):
-    context.told = []
+    context.notified = []
     for name, member in context.region.members.items():
-        member.on_leaving(lambda *got, name=name: context.told.append((name, *got)))
+        member.on_leaving(lambda *got, name=name: context.notified.append((name, *got)))
     call(context, context.region.members[vm_id].mark_leaving, endpoint, source)
 
 
-@then('every member is told once that "{endpoint}" is leaving for "{source}"')
-def step_told(context, endpoint, source):
+@then(
+    'every member is notified once that "{endpoint}" is leaving with source "{source}"'
+)
+def step_notified(context, endpoint, source):
     wanted = {(name, endpoint, source) for name in context.region.members}
-    wait_for(context, lambda: set(context.told) >= wanted, "everybody is told")
-    assert sorted(context.told) == sorted(wanted)
+    wait_for(context, lambda: set(context.notified) >= wanted, "all are notified")
+    assert sorted(context.notified) == sorted(wanted)
 
 
 @then('every member knows that "{endpoint}" is leaving')
@@ -279,7 +281,7 @@
     )
 
 
-@given('members "{names}" in "{dc}" that know nobody but the platform\'s list')
+@given('members "{names}" in "{dc}" that know only the platform\'s list')
 def step_by_list(context, names, dc):
     context.vm_list = FakeList()
     region = make_region(context, {dc: names.split()}, vm_list=context.vm_list)
@@ -295,45 +297,45 @@
 
 
 async def read_list(context, vm_id):
-    """Let a member beat and read the list; no time passes between the two."""
+    """Let a member send heartbeats and poll the list at the same time."""
     member = context.region.members[vm_id]
     member._send_heartbeats(member._context.clock.now_ms())
-    context.tried = []
+    context.contacted = []
     with mock.patch.object(
-        member.transport, "send", lambda other, message: context.tried.append(other)
+        member.transport, "send", lambda other, message: context.contacted.append(other)
     ):
         await member._reader._poll()
 
 
-@when('"{vm_id}" reads a list that names "{other}" just after its beat')
+@when('"{vm_id}" polls a list that contains "{other}" just after its heartbeat')
 def step_list_names(context, vm_id, other):
     context.vm_list.entries.append(ListedVm(other, "dca", "127.0.0.1:9", False))
     context.run(read_list(context, vm_id))
 
 
-@when('"{vm_id}" reads the same list once more')
+@when('"{vm_id}" polls the same list again')
 def step_list_again(context, vm_id):
     context.run(read_list(context, vm_id))
 
 
-@then('"{vm_id}" has tried "{other}" without waiting for its next beat')
+@then('"{vm_id}" has contacted "{other}" without waiting for its next heartbeat')
 def step_tried(context, vm_id, other):
-    assert context.tried == [other], context.tried
+    assert context.contacted == [other], context.contacted
 
 
 @then('"{vm_id}" has sent nothing more')
 def step_sent_nothing(context, vm_id):
-    assert context.tried == [], context.tried
+    assert context.contacted == [], context.contacted
 
 
-@when('member "a1" sends a heartbeat in the name of "a2" that says stopped')
-def step_false_name(context):
-    false = Heartbeat("a2", 99, "dca", 1, True, True, {}, stopped=True)
-    call(context, context.region.members["a1"].send, "a2", false)
-    call(context, context.region.members["a1"].send, "a1", false)
+@when('member "a1" sends a heartbeat that claims that "a2" has stopped')
+def step_false_heartbeat(context):
+    forged = Heartbeat("a2", 99, "dca", 1, True, True, {}, stopped=True)
+    call(context, context.region.members["a1"].send, "a2", forged)
+    call(context, context.region.members["a1"].send, "a1", forged)
 
 
-@when("{count:d} further beats have passed")
+@when("{count:d} further heartbeats have been sent")
 def step_beats(context, count):
     region = context.region
     transport = region.members["a1"].transport
@@ -341,10 +343,10 @@
     context.bytes = transport.bytes_sent
     wanted = context.frames + count * 3
 
-    wait_for(context, lambda: transport.frames_sent >= wanted, "the beats")
+    wait_for(context, lambda: transport.frames_sent >= wanted, "the heartbeats")
 
 
-@then("a beat to one neighbour has taken at most {limit:d} bytes")
+@then("a heartbeat to one neighbour takes at most {limit:d} bytes")
 def step_bytes(context, limit):
     transport = context.region.members["a1"].transport
     frames = transport.frames_sent - context.frames
@@ -383,8 +385,8 @@
     wait_for(context, gone, "the frozen process is dropped")
 
 
-@when("the process is woken")
-def step_wake(context):
+@when("the process is resumed")
+def step_resume(context):
     context.child.send_signal(signal.SIGCONT)
 
 
@@ -395,7 +397,7 @@
     wait_for(context, back, "the process is seen again")
 
 
-@then("the process has noticed its pause")
+@then("the process has detected its pause")
 def step_noticed(context):
     read = asyncio.to_thread(context.child.stdout.readline)
     line = context.run(asyncio.wait_for(read, 10.0))
--- a/tests/steps/membership_recorded_steps.py
+++ b/tests/steps/membership_recorded_steps.py
@@ -52,7 +52,7 @@
 
 
 @given('the recorded marks\' endpoint "{endpoint_id}" is not declared')
-@when('the recorded marks\' endpoint "{endpoint_id}" is declared no more')
+@when('the recorded marks\' endpoint "{endpoint_id}" is no longer declared')
 def step_undeclared(context, endpoint_id):
     context.undeclared.add(endpoint_id)
 
@@ -87,8 +87,8 @@
     assert not context.members[vm_id].marked
 
 
-@then('recorded marks make "{vm_id}" take the word for "{endpoint_id}" back')
-def step_taken_back(context, vm_id, endpoint_id):
+@then('recorded marks make "{vm_id}" clear its own mark of "{endpoint_id}"')
+def step_own_cleared(context, vm_id, endpoint_id):
     context.members[vm_id].is_delegate = False
     assert endpoint_id in context.members[vm_id].marked
     step_none(context, vm_id)
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the membership features that need the transport alone."""
+"""Steps of transport.feature."""
 
 import zmq
 from behave import given, then, when
@@ -34,7 +34,7 @@
 
 def make_keys(security):
     """Return each VM's keys for one of the ways to secure a pair."""
-    if security == "in the clear":
+    if security == "without keys":
         return {"a": None, "b": None}
     if security == "with one key":
         public, private = zmq.curve_keypair()
@@ -46,7 +46,7 @@
 
 
 class Recorder:
-    """A transport that notes what comes in."""
+    """A transport that records received queries and answers."""
 
     def __init__(self, name, keys, incarnation=1, clock=None):
         self.transport = make_transport(name, incarnation, keys=keys, clock=clock)
@@ -55,7 +55,7 @@
         self.transport.subscribe(KeyAnswer, lambda *got: self.answers.append(got))
 
     def on_query(self, sender, message):
-        """Note a query and answer it."""
+        """Record a query and answer it."""
         self.queries.append((sender, message))
         self.transport.send(sender, KeyAnswer(message.query_id, True))
 
@@ -68,7 +68,7 @@
     return recorder
 
 
-def introduce(context):
+def exchange_addresses(context):
     for one in context.recorders.values():
         for name, other in context.recorders.items():
             address = f"127.0.0.1:{other.transport.port}"
@@ -76,7 +76,7 @@
 
 
 def send_raw(context, frames, stated="b", keys=None):
-    """Send frames to "a" from a socket of our own."""
+    """Send frames to "a" from a raw socket."""
     target = context.recorders["a"].transport
     zmq_context = zmq.Context()
     socket = zmq_context.socket(zmq.DEALER)
@@ -109,7 +109,7 @@
     context.recorders = {}
     for name in "ab":
         start_recorder(context, name)
-    introduce(context)
+    exchange_addresses(context)
 
 
 @when('transport "a" sends {count:d} key queries to "b" which answers each')
@@ -122,7 +122,7 @@
     context.run(send_all())
 
 
-@then('transport "a" has got {count:d} answers from "b"')
+@then('transport "a" has received {count:d} answers from "b"')
 def step_answers(context, count):
     answers = context.recorders["a"].answers
     context.run(eventually(lambda: len(answers) == count, "all answers"))
@@ -152,7 +152,7 @@
     assert context.run(send())
 
 
-@then('transport "{name}" has got that query from "{sender}"')
+@then('transport "{name}" has received that query from "{sender}"')
 def step_got_one(context, name, sender):
     queries = context.recorders[name].queries
     wanted = (sender, KeyQuery("one", "k"))
@@ -180,14 +180,14 @@
     context.book.learn("y", "127.0.0.1:4")
 
 
-@then("the address book finds the one of the map")
+@then("the address book returns the address in the map")
 def step_book_finds(context):
     assert context.book.find("x") == "127.0.0.1:1"
     assert context.book.find("y") == "127.0.0.1:4"
     assert context.book.find("z") == ""
 
 
-@then('a transport in the clear refuses to listen on "{host}"')
+@then('a transport without keys refuses to listen on "{host}"')
 def step_refuses_host(context, host):
     try:
         context.run(make_transport("a", 1, host=host).start())
@@ -204,7 +204,7 @@
     context.run(eventually(lambda: queries, "the first start is heard"))
     context.run(context.recorders["b"].transport.stop())
     start_recorder(context, "b", incarnation=2)
-    introduce(context)
+    exchange_addresses(context)
 
 
 @when('the earlier start of "b" sends a frame to transport "a"')
@@ -233,8 +233,8 @@
     assert len(raw) == (1 if error == "message repeated" else 0)
 
 
-@when('a stranger {kind} sends a frame to transport "a"')
-def step_stranger(context, kind):
+@when('a peer {kind} sends a frame to transport "a"')
+def step_unlisted_peer(context, kind):
     if kind == "without a key":
         send_raw(context, [query_frame()])
         return
@@ -243,9 +243,9 @@
     context.run(eventually(lambda: transport.unlisted_keys_refused, "the refusal"))
 
 
-@then('transport "a" takes no frame of the stranger\'s')
-def step_stranger_refused(context):
-    # A listed VM that connects later is heard, the stranger still is not.
+@then('transport "a" accepts no frame of that peer\'s')
+def step_unlisted_refused(context):
+    # A listed VM that connects later is accepted, the unlisted peer still is not.
     send_query(context, "b", "a", "one")
     recorder = context.recorders["a"]
     context.run(eventually(lambda: recorder.queries, "b is heard"))
@@ -292,7 +292,7 @@
     assert transport.rejected >= count - taken - 1
 
 
-@given('a member on the transport "a" of its own')
+@given('a member with its own transport "a"')
 def step_member(context):
     member = make_member("a", "dca", 1)
     stop_at_end(context, member)
@@ -300,7 +300,7 @@
     context.recorders["a"] = context.member = member
 
 
-def nonsense():
+def arbitrary_messages():
     """Return a strategy of membership messages with any content."""
     number = st.integers(-(2**63), 2**63 - 1)
     name = st.sampled_from(["", "a", "fuzzer", "x", "dca", "dcb", "127.0.0.1:1"])
@@ -321,12 +321,12 @@
     )
 
 
-@when("well-formed nonsense is sent to that member")
-def step_nonsense(context):
+@when("well-formed arbitrary messages are sent to that member")
+def step_arbitrary(context):
     messages = []
 
     @hypothesis_settings(max_examples=400, database=None, derandomize=True)
-    @hypothesis_given(nonsense())
+    @hypothesis_given(arbitrary_messages())
     def collect(message):
         messages.append(message)
 
@@ -335,15 +335,15 @@
         encode_envelope(1, number, [encode_message(message)])
         for number, message in enumerate(messages, 1)
     ]
-    context.nonsense_count = len(frames)
+    context.arbitrary_count = len(frames)
     send_raw(context, frames, stated="fuzzer")
 
 
-@then("that member has read it all and still sees itself")
-def step_nonsense_read(context):
+@then("that member has read them all and still sees itself")
+def step_arbitrary_read(context):
     member = context.member
     transport = member.transport
-    count = context.nonsense_count
+    count = context.arbitrary_count
     all_read = lambda: transport.frames_received == count  # noqa: E731
     context.run(eventually(all_read, "all frames read"))
     assert transport.rejected == 0, transport.last_rejection
@@ -356,16 +356,16 @@
     context.run(context.recorders["b"].transport.stop())
 
 
-@when('more than the longest wait passes and "b" is back')
+@when('more than the longest queue time passes and "b" is back')
 def step_back(context):
     link = context.recorders["a"].transport
     wait = lambda: link.messages_dropped == 1  # noqa: E731
     context.run(eventually(wait, f"dropped after {MAX_QUEUE_TIME_MS} ms"))
     start_recorder(context, "b", incarnation=2)
-    introduce(context)
+    exchange_addresses(context)
 
 
-@then('transport "b" has got only the other query')
+@then('transport "b" has received only the other query')
 def step_only_other(context):
     queries = context.recorders["b"].queries
     context.run(eventually(lambda: queries, "the other query"))
--- a/tests/steps/membership_tables_steps.py
+++ b/tests/steps/membership_tables_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the features of the member's pure parts."""
+"""Steps of tables.feature: membership tables on a manual clock."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
     assert [each.vm_id for each in context.heartbeats.heartbeats()] == ["y"]
 
 
-@when('a heartbeat of an earlier start of "x" comes')
+@when('a heartbeat of an earlier start of "x" arrives')
 def step_earlier(context):
     assert not context.heartbeats.put(heartbeat_of("x", 1), 600.0)
 
@@ -65,8 +65,8 @@
     context.digests.put("b2", digest_of(dc, second), 0.0)
 
 
-@when('"b2" says at {now:d} ms that "{dc}" is "{members}"')
-def step_disown(context, now, dc, members):
+@when('"b2" sends a digest of "{dc}" with "{members}" at {now:d} ms')
+def step_send_digest(context, now, dc, members):
     context.digests.put("b2", digest_of(dc, members), float(now))
 
 
@@ -110,13 +110,13 @@
     return {key: choose(key, context.candidates) for key in context.rendezvous_keys}
 
 
-@when("a candidate goes")
+@when("a candidate is removed")
 def step_candidate_goes(context):
     context.gone = context.candidates.pop(4)
     context.after = spread(context)
 
 
-@then("only the keys that it held have moved")
+@then("only the keys assigned to it are reassigned")
 def step_moved(context):
     before, after = context.before, context.after
     moved = {key for key in before if before[key] != after[key]}
@@ -130,13 +130,13 @@
     assert most <= len(holders) / 4
 
 
-@given("two members in one data centre on clocks moved by hand")
+@given("two members in one data centre with manual clocks")
 def step_two(context):
     context.clocks = [ManualClock(), ManualClock()]
     context.pair = []
     for number, clock in enumerate(context.clocks):
         member = make_member(f"m{number}", "dca", 1, clock=clock)
-        # Only the clock in the steps makes it tick.
+        # Starts the transport alone, so that only the steps call tick().
         context.run(member.transport.start())
         stop_at_end(context, member.transport)
         context.pair.append(member)
@@ -151,7 +151,7 @@
 
 
 async def exchange(context, condition):
-    """Let both tick, 100 ms at a time, until a condition holds."""
+    """Advance both clocks and tick both members until a condition holds."""
     for _ in range(200):
         for member, clock in zip(context.pair, context.clocks, strict=True):
             clock.advance(100.0)
@@ -159,7 +159,7 @@
         await asyncio.sleep(0.01)
         if condition():
             return
-    raise AssertionError("the members never got there")
+    raise AssertionError("the condition did not hold after 200 ticks")
 
 
 async def move_first(context, by_ms):
@@ -214,36 +214,36 @@
     context.contacts.learn("other", "dca", "127.0.0.1:2", 0.0, certain=False)
 
 
-@when("contacts are tried for {seconds:d} seconds")
-def step_try(context, seconds):
-    context.tried = []
+@when("contacts are probed for {seconds:d} seconds")
+def step_probe(context, seconds):
+    context.probed = []
     for now_ms in range(0, seconds * 1000, 500):
-        context.tried += context.contacts.due_probes("dca", (), 10, float(now_ms))
+        context.probed += context.contacts.due_probes("dca", (), 10, float(now_ms))
 
 
-@then("the seed was tried {seed:d} times and the other {other:d} times")
-def step_tried(context, seed, other):
-    assert context.tried.count("seed") == seed
-    assert context.tried.count("other") == other, context.tried.count("other")
+@then("the seed was probed {seed:d} times and the other {other:d} times")
+def step_probed(context, seed, other):
+    assert context.probed.count("seed") == seed
+    assert context.probed.count("other") == other, context.probed.count("other")
 
 
 def peers_of(names, data_centre="dcb"):
     return {name: Peer(name, 1, data_centre, "") for name in names}
 
 
-@given('VMs "{names}" of another data centre, last heard of at {ms:d} ms')
+@given('VMs "{names}" of another data centre, last listed at {ms:d} ms')
 def step_remote(context, names, ms):
     context.remote = RemoteMembers()
     context.digests = DigestTable(from_members=True)
     context.digests.put("b1", digest_of("dcb", names), float(ms))
-    context.listed, context.spoken_of = peers_of(names.split()), {"dcb"}
+    context.listed, context.data_centres = peers_of(names.split()), {"dcb"}
     known_at(context, ms)
 
 
 def known_at(context, ms, gone=()):
     listed_ms = context.digests.last_listed_ms()
     return context.remote.update(
-        context.listed, listed_ms, context.spoken_of, gone, float(ms)
+        context.listed, listed_ms, context.data_centres, gone, float(ms)
     )
 
 
@@ -254,14 +254,14 @@
     context.listed = peers_of(names.split())
 
 
-@when("nobody is listed from {ms:d} ms on")
+@when("no VM is listed from {ms:d} ms on")
 def step_none_listed(context, ms):
     context.listed = {}
 
 
-@when("nobody speaks of their data centre from {ms:d} ms on")
-def step_not_spoken_of(context, ms):
-    context.listed, context.spoken_of = {}, set()
+@when("there is no digest of their data centre from {ms:d} ms on")
+def step_no_digest(context, ms):
+    context.listed, context.data_centres = {}, set()
 
 
 @when('the source that listed "{before}" lists "{names}" at {ms:d} ms')
@@ -294,8 +294,8 @@
     assert not known_at(context, ms)
 
 
-class WrittenLines:
-    """A view and the lines that its changes cause."""
+class LoggedLines:
+    """A view and the log lines that its changes cause."""
 
     def __init__(self, context):
         self.lines = []
@@ -313,47 +313,46 @@
 
 @when('40 VMs of "dcb" and 30 of "dcc" join a view one after the other in 450 ms')
 def step_join(context):
-    context.written = WrittenLines(context)
+    context.logged = LoggedLines(context)
     peers = {}
     for number in range(40):
         peers = peers | peers_of([f"b{number}"])
         if number < 30:
             peers = peers | peers_of([f"c{number}"], "dcc")
-        context.written.change(peers, number * 450 / 40)
+        context.logged.change(peers, number * 450 / 40)
 
 
 @when("a VM leaves the view and is back {ms:d} ms later")
 def step_leaves_and_returns(context, ms):
-    context.written = written = WrittenLines(context)
-    written.view = View(1, peers_of(["b1", "b2"]))
-    written.change(peers_of(["b1"]), 0.0)
-    written.change(peers_of(["b1", "b2"]), float(ms))
+    context.logged = logged = LoggedLines(context)
+    logged.view = View(1, peers_of(["b1", "b2"]))
+    logged.change(peers_of(["b1"]), 0.0)
+    logged.change(peers_of(["b1", "b2"]), float(ms))
 
 
-@when("a VM is started again in the view")
+@when("a VM in the view is restarted")
 def step_started_again(context):
-    context.written = written = WrittenLines(context)
-    written.view = View(1, peers_of(["b1"]))
-    written.change({"b1": Peer("b1", 2, "dcb", "")}, 0.0)
+    context.logged = logged = LoggedLines(context)
+    logged.view = View(1, peers_of(["b1"]))
+    logged.change({"b1": Peer("b1", 2, "dcb", "")}, 0.0)
 
 
 @then(
-    "{count:d} lines are written within {ms:d} ms, one of {one:d} and one of {two:d} "
-    "VMs"
+    "{count:d} lines are logged within {ms:d} ms, one of {one:d} and one of {two:d} VMs"
 )
 def step_lines(context, count, ms, one, two):
-    context.written.log.flush(float(ms))
-    assert [line["count"] for line in context.written.lines] == [one, two]
-    assert len(context.written.lines) == count
+    context.logged.log.flush(float(ms))
+    assert [line["count"] for line in context.logged.lines] == [one, two]
+    assert len(context.logged.lines) == count
 
 
-@then("1 line is written within {ms:d} ms, of 1 VM")
+@then("1 line is logged within {ms:d} ms, of 1 VM")
 def step_line(context, ms):
-    context.written.log.flush(float(ms))
-    assert [line["count"] for line in context.written.lines] == [1]
+    context.logged.log.flush(float(ms))
+    assert [line["count"] for line in context.logged.lines] == [1]
 
 
-@then("no line is written within {ms:d} ms")
+@then("no line is logged within {ms:d} ms")
 def step_no_line(context, ms):
-    context.written.log.flush(float(ms))
-    assert context.written.lines == []
+    context.logged.log.flush(float(ms))
+    assert context.logged.lines == []
