--- a/tests/membership/transport.feature
+++ b/tests/membership/transport.feature
@@ -53,7 +53,7 @@
   Scenario Outline: Peers without a listed key are refused
     Given a transport pair with own keys
     When a peer <kind> sends a frame to transport "a"
-    Then transport "a" accepts no frame of that peer's
+    Then transport "a" accepts no frame of that peer
 
     Examples:
       | kind                 |
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -243,7 +243,7 @@
     context.run(eventually(lambda: transport.unlisted_keys_refused, "the refusal"))
 
 
-@then('transport "a" accepts no frame of that peer\'s')
+@then('transport "a" accepts no frame of that peer')
 def step_unlisted_refused(context):
     # A listed VM that connects later is accepted, the unlisted peer still is not.
     send_query(context, "b", "a", "one")
