--- a/src/pomelolane/membership/__init__.py
+++ b/src/pomelolane/membership/__init__.py
@@ -9,9 +9,9 @@
 from pomelolane.membership.addresses import AddressBook
 from pomelolane.membership.keys import ClusterKeys, cluster_keys_from_settings
 from pomelolane.membership.member import Member, make_member
-from pomelolane.membership.readers import is_store_reader
 from pomelolane.membership.recorded import RecordedMarks
 from pomelolane.membership.rendezvous import choose, choose_several, weight
+from pomelolane.membership.store_reader import is_store_reader
 from pomelolane.membership.transport import ZmqTransport, make_transport
 
 __all__ = [
--- a/src/pomelolane/membership/context.py
+++ b/src/pomelolane/membership/context.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from pomelolane.membership.contacts import Contacts
     from pomelolane.membership.heartbeat import HeartbeatTable
-    from pomelolane.membership.leaving import LeavingMarks
+    from pomelolane.membership.leaving_marks import LeavingMarks
     from pomelolane.membership.pause import PauseDetector
     from pomelolane.membership.transport import ZmqTransport
     from pomelolane.ports import Clock
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -14,7 +14,7 @@
 from pomelolane.membership.digests import DIGEST_TIMEOUT_MS, DigestTable, newer_state
 from pomelolane.membership.hashing import hash_of_digest
 from pomelolane.membership.heartbeat import HEARTBEAT_INTERVAL_MS
-from pomelolane.membership.remotes import RemoteMembers
+from pomelolane.membership.remote_members import RemoteMembers
 from pomelolane.membership.rendezvous import choose_several
 from pomelolane.membership.view import peer_from_state
 from pomelolane.messages import Digest, DigestPulse, DigestWanted, MemberState
--- a/src/pomelolane/membership/member.py
+++ b/src/pomelolane/membership/member.py
@@ -17,10 +17,10 @@
 from pomelolane.membership.delegate import DigestExchange, choose_delegates
 from pomelolane.membership.digests import DIGEST_TIMEOUT_MS
 from pomelolane.membership.heartbeat import HEARTBEAT_INTERVAL_MS, HeartbeatTable
-from pomelolane.membership.leaving import LeavingMarks
 from pomelolane.membership.leaving_broadcast import LeavingBroadcast
-from pomelolane.membership.listing import ListReader
-from pomelolane.membership.local import LocalHeartbeats
+from pomelolane.membership.leaving_marks import LeavingMarks
+from pomelolane.membership.list_reader import ListReader
+from pomelolane.membership.local_heartbeats import LocalHeartbeats
 from pomelolane.membership.pause import BACKLOG_MS, PauseDetector
 from pomelolane.membership.transport import make_transport
 from pomelolane.membership.view import ViewPublisher, peer_from_heartbeat
--- a/tests/steps/membership_beats_steps.py
+++ b/tests/steps/membership_beats_steps.py
@@ -9,7 +9,7 @@
 from pomelolane.membership import make_member
 from pomelolane.membership.hashing import hash_of_digest, hash_of_heartbeat
 from pomelolane.messages import DigestPulse, Pulse
-from tests.membership.statements import digest_of, heartbeat_of
+from tests.membership.builders import digest_of, heartbeat_of
 from tests.membership.waiting import call, stop_at_end
 
 
--- a/tests/steps/membership_tables_steps.py
+++ b/tests/steps/membership_tables_steps.py
@@ -10,11 +10,11 @@
 from pomelolane.membership.contacts import Contacts
 from pomelolane.membership.digests import DigestTable
 from pomelolane.membership.heartbeat import HeartbeatTable
-from pomelolane.membership.leaving import LeavingMarks
-from pomelolane.membership.remotes import RemoteMembers
+from pomelolane.membership.leaving_marks import LeavingMarks
+from pomelolane.membership.remote_members import RemoteMembers
 from pomelolane.membership.viewlog import ViewLog
 from pomelolane.ports import Peer, View
-from tests.membership.statements import digest_of, heartbeat_of
+from tests.membership.builders import digest_of, heartbeat_of
 from tests.membership.waiting import stop_at_end
 
 
