--- a/src/pomelolane/membership/__init__.py
+++ b/src/pomelolane/membership/__init__.py
@@ -1,7 +1,13 @@
 """Group membership and messaging between VMs.
 
-Covers the transport, heartbeats, digests and the view. All of it is soft state:
-there is no consensus, no replicated log and no persistence.
+The VMs of one data centre detect each other's failure by heartbeats. Each data centre
+has two delegates, which send a digest (a summary of its VMs) to the delegates of the
+others. Heartbeats and digests with unchanged content are replaced by pulses, which
+carry only a hash. Each VM derives from them its view: the VMs, in all data centres,
+that it considers alive. Marks of leaving endpoints, which get no new requests, are
+sent along.
+
+All of it is soft state: there is no consensus, no replicated log and no persistence.
 """
 
 from __future__ import annotations
--- a/src/pomelolane/membership/context.py
+++ b/src/pomelolane/membership/context.py
@@ -67,5 +67,8 @@
     clock: Clock
 
     def heard_ms(self) -> float:
-        """Return the time at which a message read now shows its sender alive."""
+        """Return the time to record as last heard for the sender of a message.
+
+        It applies to messages that are read now.
+        """
         return self.pause.heard_ms(self.clock.now_ms())
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -31,10 +31,10 @@
 
 DELEGATES_PER_DATA_CENTRE = 2
 MAX_REMOTE_PROBES = 3
-"""VMs of a silent data centre that are contacted at one heartbeat."""
+"""Maximum of VMs of a silent data centre that are contacted at one heartbeat."""
 
 INHERITED_SOURCE = ""
-"""Source of the digests that a new delegate had before any arrived directly."""
+"""Source under which a new delegate stores the digests relayed to it before."""
 
 
 def choose_delegates(
@@ -50,6 +50,9 @@
 class DigestExchange:
     """Sends digests of this data centre and stores those of the others.
 
+    Direct digests arrive from VMs of other data centres, relayed ones from VMs of this
+    data centre.
+
     Args:
         context: State and components shared within the package.
         on_change: Called after a digest was stored.
@@ -67,11 +70,11 @@
         self._on_digest = on_digest
         self._direct = DigestTable(from_members=True)
         self._relayed = DigestTable(from_members=False)
-        self._members = RemoteMembers()
-        self._sent: dict[str, int] = {}
-        self._replied_ms: dict[str, float] = {}
-        self._last_hash = -1
-        self._rounds = 0
+        self._remote_members = RemoteMembers()
+        self._sent_hashes: dict[str, int] = {}
+        self._corrected_ms: dict[str, float] = {}
+        self._published_hash = -1
+        self._heartbeat_rounds = 0
         self._advertise_until_ms = 0.0
         self.is_delegate = False
         context.transport.subscribe(Digest, self._handle_digest)
@@ -96,10 +99,10 @@
         gone = self._direct.pop_unlisted() | self._relayed.pop_unlisted()
         now_ms = self._context.clock.now_ms()
         data_centres = self.data_centres()
-        return self._members.update(peers, listed_ms, data_centres, gone, now_ms)
+        return self._remote_members.update(peers, listed_ms, data_centres, gone, now_ms)
 
     def remote_hashes(self) -> dict[str, int]:
-        """Return the hashes of directly received digests, empty if no delegate.
+        """Return the hashes of directly received digests; empty if this is no delegate.
 
         A former delegate keeps returning them for :data:`DIGEST_TIMEOUT_MS`, until its
         successors have received digests of their own.
@@ -107,8 +110,8 @@
         now_ms = self._context.clock.now_ms()
         if not self.is_delegate and now_ms >= self._advertise_until_ms:
             return {}
-        tables = self._direct
-        return {each: tables.merged(each).digest_hash for each in tables.data_centres()}
+        direct = self._direct
+        return {each: direct.merged(each).digest_hash for each in direct.data_centres()}
 
     def leaving(self) -> set[str]:
         """Return the endpoints that other data centres mark as leaving."""
@@ -146,15 +149,15 @@
             self._copy_relayed_digests(now_ms)
         else:
             self._advertise_until_ms = now_ms + DIGEST_TIMEOUT_MS
-        self._sent.clear()
-        self._last_hash = -1
+        self._sent_hashes.clear()
+        self._published_hash = -1
         return True
 
     def expire(self, now_ms: float) -> bool:
         """Drop expired digests; return whether the remote VMs may have changed."""
         direct = self._direct.expire(now_ms)
         relayed = self._relayed.expire(now_ms)
-        return direct or relayed or self._members.has_overdue(now_ms)
+        return direct or relayed or self._remote_members.has_overdue(now_ms)
 
     def restart_timeouts(self, now_ms: float) -> None:
         """Restart all silence timeouts, after a pause of this process."""
@@ -165,10 +168,10 @@
         """As a delegate, send the periodic digest or pulse."""
         if not self.is_delegate:
             return
-        self._rounds += 1
+        self._heartbeat_rounds += 1
         digest = self.own_digest()
         digest_hash = hash_of_digest(digest)
-        self._last_hash = digest_hash
+        self._published_hash = digest_hash
         for vm_id in self._recipients(now_ms):
             self._send_digest(vm_id, digest, digest_hash)
 
@@ -178,9 +181,9 @@
             return
         digest = self.own_digest()
         digest_hash = hash_of_digest(digest)
-        if digest_hash == self._last_hash:
+        if digest_hash == self._published_hash:
             return
-        self._last_hash = digest_hash
+        self._published_hash = digest_hash
         for vm_id in self.remote_delegates():
             self._send_digest(vm_id, digest, digest_hash)
 
@@ -256,35 +259,36 @@
             context.transport.send(sender, merged.digest)
 
     def _send_correction(self, sender: str, now_ms: float) -> None:
-        # The sender wrongly takes this VM for a delegate, so it gets the current
+        # The sender wrongly considers this VM a delegate, so it gets the current
         # members. Corrections are rate-limited, and a reply is never replied to.
         if self.is_delegate:
             return
         if (
-            now_ms - self._replied_ms.get(sender, -HEARTBEAT_INTERVAL_MS)
+            now_ms - self._corrected_ms.get(sender, -HEARTBEAT_INTERVAL_MS)
             < HEARTBEAT_INTERVAL_MS
         ):
             return
-        self._replied_ms[sender] = now_ms
+        self._corrected_ms[sender] = now_ms
         self._context.transport.send(sender, self.own_digest(reply=True))
 
     # --- helpers ------------------------------------------------------------
 
     def _send_digest(self, vm_id: str, digest: Digest, digest_hash: int) -> None:
         message: msgspec.Struct = digest
-        if self._sent.get(vm_id) == digest_hash:
+        if self._sent_hashes.get(vm_id) == digest_hash:
             message = DigestPulse(digest.data_centre, digest_hash)
         if self._context.transport.send(vm_id, message):
-            self._sent[vm_id] = digest_hash
+            self._sent_hashes[vm_id] = digest_hash
 
     def _recipients(self, now_ms: float) -> list[str]:
-        # Sends to the delegates of a data centre in turn: each hears from two
-        # delegates of every data centre once a second, at half the traffic.
+        # Alternates between the delegates of each data centre at every heartbeat: a
+        # delegate hears from each remote one once a second, and sending to both at
+        # every heartbeat would double the traffic.
         recipients = []
         for data_centre in sorted(self.data_centres()):
             delegates = self._delegates_of(data_centre)
             if delegates:
-                recipients.append(delegates[self._rounds % len(delegates)])
+                recipients.append(delegates[self._heartbeat_rounds % len(delegates)])
         contacts = self._context.contacts
         silent = contacts.data_centres() - set(self._direct.data_centres())
         for data_centre in sorted(silent - {self._context.data_centre}):
@@ -309,8 +313,8 @@
     def _merged_digests(self, data_centre: str) -> list[MergedDigest]:
         relayed = self._relayed.merged(data_centre)
         direct = self._direct.merged(data_centre)
-        # Digests reach a VM that is no delegate directly only by mistake, and at no
-        # regular interval, so relayed ones take precedence.
+        # A VM that is not a delegate receives digests directly only by mistake and
+        # irregularly, so relayed ones take precedence.
         if relayed is not None and not self.is_delegate:
             direct = None
         return [each for each in (relayed, direct) if each is not None]
--- a/src/pomelolane/membership/digests.py
+++ b/src/pomelolane/membership/digests.py
@@ -18,7 +18,7 @@
 
 DIGEST_TIMEOUT_MS = 2000.0
 MISSED_DIGEST_MS = 1250.0
-"""Silence after which a source has missed its digest of once a second."""
+"""Silence after which a source is overdue: it sends a digest once a second."""
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
         entry = _Entry(digest, hash_of_digest(digest), now_ms)
         entries = self._entries.setdefault(digest.data_centre, {})
         if source in entries:
-            self._unlisted |= _names(entries[source].digest) - _names(digest)
+            self._unlisted |= _vm_ids(entries[source].digest) - _vm_ids(digest)
         entries[source] = entry
         self._merged.pop(digest.data_centre, None)
 
@@ -96,7 +96,9 @@
             self._drop(data_centre, source)
 
     def expire(self, now_ms: float) -> bool:
-        """Drop digests of sources that are silent or listed as gone.
+        """Drop digests of sources that timed out or, as far as others show, are gone.
+
+        The latter are sources that missed a digest and are not listed by a fresh one.
 
         Returns:
             Whether any were dropped.
@@ -138,7 +140,7 @@
         listed_ms = dict(self._dropped_ms)
         for entries in self._entries.values():
             for entry in entries.values():
-                for vm_id in _names(entry.digest):
+                for vm_id in _vm_ids(entry.digest):
                     before_ms = listed_ms.get(vm_id, entry.heard_ms)
                     listed_ms[vm_id] = max(before_ms, entry.heard_ms)
         return listed_ms
@@ -177,7 +179,7 @@
     def _drop(self, data_centre: str, source: str) -> None:
         entries = self._entries[data_centre]
         entry = entries.pop(source)
-        for vm_id in _names(entry.digest):
+        for vm_id in _vm_ids(entry.digest):
             before_ms = self._dropped_ms.get(vm_id, entry.heard_ms)
             self._dropped_ms[vm_id] = max(before_ms, entry.heard_ms)
         self._merged.pop(data_centre, None)
@@ -185,7 +187,7 @@
             del self._entries[data_centre]
 
 
-def _names(digest: Digest) -> set[str]:
+def _vm_ids(digest: Digest) -> set[str]:
     return {state.vm_id for state in digest.members}
 
 
@@ -209,7 +211,7 @@
 
 
 def newer_state(one: MemberState | None, other: MemberState) -> MemberState:
-    """Return the later of two states of one VM, merged within one start."""
+    """Return the later of two states of one VM, or both combined if of one start."""
     if one is None or other.incarnation > one.incarnation:
         return other
     if other.incarnation < one.incarnation:
--- a/src/pomelolane/membership/keys.py
+++ b/src/pomelolane/membership/keys.py
@@ -1,16 +1,19 @@
 """Authentication of VMs by CURVE keys given in the settings.
 
-A cluster is a table of public keys: ``vm=KEY`` binds one VM id to one key, so
-that the sender's id is authenticated and not merely claimed; a bare ``KEY`` is a key
-pair shared by every VM that is not listed by name, whose holders prove only
-that they belong to the cluster and may claim any unlisted id. ZeroMQ refuses a
-connection with a key that is not in the table; which of the listed keys it was
-is checked with each frame against the id that the connection states. The table
-serves both directions: a VM accepts connections from listed keys only, and
-connects to a peer only if that proves to hold the private half of its listed
-key. One list for both was preferred to a certificate authority (another service
-to run) and to trust on first use (VMs are replaced at any time and persist
-nothing).
+The settings list the public keys of the cluster:
+
+* ``vm=KEY`` binds one VM id to one key, so that the sender's id is authenticated.
+* A bare ``KEY`` belongs to a key pair shared by all VMs that are not listed by name.
+  It only proves that its holder belongs to the cluster; the holder may claim any
+  unlisted id.
+
+The list serves both directions. ZeroMQ refuses incoming connections whose key is not
+listed, and the transport checks with each frame that the key is the one required of the
+VM id that the connection states. An outgoing connection succeeds only if the peer
+proves that it has the private key that matches its listed public key.
+
+One list was preferred to a certificate authority (another service to run) and to
+trust on first use (VMs are replaced at any time and persist nothing).
 
 Without keys a VM communicates unencrypted, and then over loopback addresses only.
 """
@@ -33,7 +36,7 @@
     from collections.abc import Sequence
 
 SHARED_KEY_NAME = "*"
-"""Table entry that applies to every VM not listed by name."""
+"""Entry of the key list that applies to every VM not listed by name."""
 
 UNLISTED_KEY = "key not listed"
 USER_ID_PROPERTY = "User-Id"
@@ -126,7 +129,7 @@
         self.configure_curve_callback("*", self)
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Return whether the key is listed; the library prescribes the name."""
+        """Return whether the key is listed; PyZMQ prescribes the method's name."""
         del domain
         if key in self._listed:
             return True
--- a/src/pomelolane/membership/leaving_broadcast.py
+++ b/src/pomelolane/membership/leaving_broadcast.py
@@ -1,6 +1,6 @@
 """Broadcasts leaving endpoints at once to all live VMs.
 
-Heartbeats and digests repeat each mark, so a lost message is made up for.
+Heartbeats and digests repeat each mark, so it arrives even if a message is lost.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
     from pomelolane.membership.delegate import DigestExchange
 
 MEMBERS_SOURCE = "members"
+"""Source of marks learnt from heartbeats and digests, which do not carry it."""
 
 
 class LeavingBroadcast:
--- a/src/pomelolane/membership/links.py
+++ b/src/pomelolane/membership/links.py
@@ -43,7 +43,7 @@
         vm_id: This VM's id, sent in the handshake.
         incarnation: Number of this VM's start.
         address: The peer's ``ip:port``.
-        keys: This VM's keys, None for an unencrypted connection.
+        keys: Keys of this VM and the cluster, None for an unencrypted connection.
         server_key: Public key that the peer must hold.
         clock: Time source.
     """
--- a/src/pomelolane/membership/list_reader.py
+++ b/src/pomelolane/membership/list_reader.py
@@ -1,7 +1,7 @@
 """Polls the platform's list of VMs, on delegates only.
 
-A VM without peers is a delegate too. The list lags behind; it only provides VMs to
-probe and leaving endpoints.
+A VM without peers is a delegate too. The list lags behind, so it does not show which
+VMs are alive; it only provides VMs to probe and leaving endpoints.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     Args:
         vm_list: The platform's list.
         context: State and components shared within the package.
-        exchange: Provides whether this VM is a delegate.
+        exchange: Its ``is_delegate`` decides whether this VM polls.
         broadcast: Marks leaving endpoints.
         is_endpoint: Returns whether a listed id is that of an endpoint, as far as the
             settings are known.
--- a/src/pomelolane/membership/local_heartbeats.py
+++ b/src/pomelolane/membership/local_heartbeats.py
@@ -18,7 +18,7 @@
     from pomelolane.messages import Message
 
 MAX_LOCAL_PROBES = 64
-"""Silent VMs of this data centre that are contacted at one heartbeat."""
+"""Maximum of silent VMs of this data centre contacted at one heartbeat."""
 
 
 class LocalHeartbeats:
@@ -26,7 +26,7 @@
 
     Args:
         context: State and components shared within the package.
-        remote: Returns the hash of each other data centre's digest.
+        remote_hashes: Returns the hash of the digest of each other data centre.
         on_new: Called with each VM that is new or was restarted.
         on_heartbeat: Called at each heartbeat or pulse with the sender's last full
             heartbeat and whether that has just arrived.
@@ -35,16 +35,16 @@
     def __init__(
         self,
         context: MemberContext,
-        remote: Callable[[], Mapping[str, int]],
+        remote_hashes: Callable[[], Mapping[str, int]],
         on_new: Callable[[str], None],
         on_heartbeat: Callable[[Heartbeat, bool], None],
     ) -> None:
         self._context = context
-        self._remote = remote
+        self._remote_hashes = remote_hashes
         self._on_new = on_new
         self._on_heartbeat = on_heartbeat
         self._sequence = 0
-        self._announced = -1
+        self._announced_hash = -1
         context.transport.subscribe(Heartbeat, self._handle_heartbeat)
         context.transport.subscribe(Pulse, self._handle_pulse)
         context.transport.subscribe(HeartbeatWanted, self._handle_wanted)
@@ -64,7 +64,7 @@
             leaving=context.marks.own,
             address=state.address,
             stopped=state.stopped,
-            remote=dict(sorted(self._remote().items())),
+            remote=dict(sorted(self._remote_hashes().items())),
             carries_per_s=state.carries_per_s,
         )
 
@@ -73,7 +73,7 @@
         self._sequence += 1
         context = self._context
         if not self.announce():
-            self._broadcast(Pulse(self._announced))
+            self._broadcast(Pulse(self._announced_hash))
         alive = [heartbeat.vm_id for heartbeat in context.table.heartbeats()]
         silent = context.contacts.due_probes(
             context.data_centre, alive, MAX_LOCAL_PROBES, now_ms
@@ -85,9 +85,9 @@
         """Send the full heartbeat to all if it has changed; return whether sent."""
         heartbeat = self.own_heartbeat()
         state_hash = hash_of_heartbeat(heartbeat)
-        if state_hash == self._announced and not always:
+        if state_hash == self._announced_hash and not always:
             return False
-        self._announced = state_hash
+        self._announced_hash = state_hash
         self._broadcast(heartbeat)
         return True
 
--- a/src/pomelolane/membership/member.py
+++ b/src/pomelolane/membership/member.py
@@ -1,7 +1,7 @@
 """One VM's membership: live VMs, delegates and leaving endpoints.
 
-The member maintains the view. Heartbeats, digests and leaving marks are handled by
-the other modules of this package.
+The member maintains the view, which holds the VMs that it considers alive. Heartbeats,
+digests and leaving marks are handled by the other modules of this package.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
     Args:
         context: State and components shared within the package.
-        advertise: ``ip:port`` announced to other VMs, empty for host and port.
+        advertise: ``ip:port`` announced to other VMs, empty for the one listened on.
         vm_list: The platform's list of VMs, None where there is none.
         is_endpoint: Returns whether a listed id is that of an endpoint.
     """
@@ -68,7 +68,7 @@
         self._exchange = DigestExchange(
             context, self._schedule_refresh, self._handle_digest
         )
-        self._local = LocalHeartbeats(
+        self._heartbeats = LocalHeartbeats(
             context,
             self._exchange.remote_hashes,
             self._handle_new_vm,
@@ -76,9 +76,9 @@
         )
         self._leaving_broadcast = LeavingBroadcast(context, self._exchange)
         self._view_publisher = ViewPublisher(
-            peer_from_heartbeat(self._local.own_heartbeat())
+            peer_from_heartbeat(self._heartbeats.own_heartbeat())
         )
-        self._reader = vm_list and ListReader(
+        self._list_reader = vm_list and ListReader(
             vm_list,
             context,
             self._exchange,
@@ -221,8 +221,8 @@
         context.pause.record_tick(context.clock.now_ms())
         self._refresh({})
         self._start_task(self._run())
-        if self._reader is not None:
-            self._start_task(self._reader.run())
+        if self._list_reader is not None:
+            self._start_task(self._list_reader.run())
 
     async def stop(self) -> None:
         """Announce the stop to the other VMs and close the connections."""
@@ -232,7 +232,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         context.state.draining = True
         context.state.stopped = True
-        self._local.announce()
+        self._heartbeats.announce()
         self._exchange.publish()
         await asyncio.sleep(STOP_FLUSH_S)
         await context.transport.stop()
@@ -270,7 +270,7 @@
 
     def _send_heartbeats(self, now_ms: float) -> None:
         self._next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS
-        self._local.send_heartbeats(now_ms)
+        self._heartbeats.send_heartbeats(now_ms)
         if not self.is_stale:
             self._exchange.send_digests(now_ms)
 
@@ -299,7 +299,7 @@
     def _refresh(self, silent_ms: Mapping[str, float]) -> None:
         context = self._context
         now_ms = context.clock.now_ms()
-        own = self._local.own_heartbeat()
+        own = self._heartbeats.own_heartbeat()
         draining = {each.vm_id: each.draining for each in context.table.heartbeats()}
         draining[context.vm_id] = own.draining
         delegates = choose_delegates(context.data_centre, draining)
@@ -312,7 +312,7 @@
             peers[heartbeat.vm_id] = peer_from_heartbeat(heartbeat)
         peers[context.vm_id] = peer_from_heartbeat(own)
         self._view_publisher.replace(peers, silent_ms, now_ms)
-        self._local.announce()
+        self._heartbeats.announce()
         self._exchange.publish()
 
     def _check_pause(self, now_ms: float) -> None:
@@ -324,7 +324,7 @@
         context.table.restart_timeouts(now_ms)
         self._exchange.restart_timeouts(now_ms)
         log_event(VM_WOKE, paused_ms=pause_ms)
-        self._local.announce(always=True)
+        self._heartbeats.announce(always=True)
         for callback in self._on_pause:
             callback(pause_ms)
 
@@ -346,13 +346,13 @@
 
     def _handle_new_vm(self, vm_id: str) -> None:
         # The digest gives a new VM the addresses of the others in its data centre.
-        self._local.send_full(vm_id)
+        self._heartbeats.send_full(vm_id)
         self.transport.send(vm_id, self._exchange.own_digest(reply=True))
 
-    def _handle_heartbeat(self, heartbeat: Heartbeat, in_full: bool) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, is_full: bool) -> None:
         self._check_pause(self._context.clock.now_ms())
         self._exchange.record_remote_hashes(heartbeat)
-        if in_full:
+        if is_full:
             self._notify_versions(heartbeat.vm_id, heartbeat.versions)
             self._schedule_refresh()
         elif (
@@ -394,7 +394,7 @@
             wall clock in milliseconds at the start.
         host: Address to listen on for other VMs.
         peer_port: Port to listen on for other VMs, 0 for any free one.
-        advertise: ``ip:port`` announced to other VMs, empty for host and port.
+        advertise: ``ip:port`` announced to other VMs, empty for the one listened on.
         seeds: VMs given in the settings.
         address_map: Addresses by VM id, which override all others.
         keys: CURVE keys, None for unencrypted messages over loopback.
--- a/src/pomelolane/membership/pause.py
+++ b/src/pomelolane/membership/pause.py
@@ -8,7 +8,7 @@
 
 MIN_PAUSE_MS = 1000.0
 BACKLOG_MS = 300.0
-"""Time after a pause in which messages read may have been sent before its end."""
+"""Time after a pause during which messages sent before its end may still be read."""
 
 
 class PauseDetector:
@@ -46,10 +46,11 @@
         return self._resumed_ms
 
     def heard_ms(self, now_ms: float) -> float:
-        """Return the time at which a message read now shows its sender alive.
+        """Return the time to record as last heard for the sender of a message.
 
-        Soon after a pause the message may have been buffered since before its end. All
-        VMs count as heard at the end of the pause, so that time is returned.
+        It applies to messages that are read now. Soon after a pause such a message may
+        have been buffered since before its end. All VMs count as heard at the end of
+        the pause, so that time is returned.
         """
         if self._resumed_ms is not None and now_ms - self._resumed_ms < BACKLOG_MS:
             return self._resumed_ms
--- a/src/pomelolane/membership/recorded.py
+++ b/src/pomelolane/membership/recorded.py
@@ -1,6 +1,6 @@
 """Operators' marks of leaving endpoints, stored in the platform's table.
 
-They reach data centres that are partitioned from the others, and survive the VM
+Stored marks reach data centres that are partitioned from the others, and survive the VM
 that received the operator's request.
 """
 
@@ -56,8 +56,8 @@
     Args:
         table: Table that stores the marks.
         member: Member to which the stored marks are applied.
-        may_exist: Returns whether an endpoint is declared, as far as the settings are
-            known.
+        may_exist: Returns False for an endpoint that the settings do not declare, True
+            also while they are not known.
         wall: Wall clock, for dropping marks of undeclared endpoints.
     """
 
@@ -73,7 +73,7 @@
         self._may_exist = may_exist
         self._wall = wall
         self._recorded_here: set[str] = set()
-        self._read: set[str] = set()
+        self._applied: set[str] = set()
 
     async def record(self, endpoint_id: str) -> None:
         """Write an operator's mark, retrying until the platform accepts it."""
@@ -95,7 +95,11 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def read(self) -> None:
-        """Poll once; a VM that is no delegate only keeps marks recorded by itself."""
+        """Poll once.
+
+        A VM that is no delegate does not read the table, and clears the marks that it
+        applied from the table as a delegate.
+        """
         self._clear_undeclared_here()
         if not self._member.is_delegate:
             self._apply(set())
@@ -108,11 +112,11 @@
             return
 
     def _apply(self, recorded: set[str]) -> None:
-        for endpoint_id in sorted(recorded - self._read):
+        for endpoint_id in sorted(recorded - self._applied):
             self._member.mark_leaving(endpoint_id, RECORD_SOURCE)
-        for endpoint_id in sorted(self._read - recorded):
+        for endpoint_id in sorted(self._applied - recorded):
             self._member.clear_leaving(endpoint_id)
-        self._read = recorded
+        self._applied = recorded
 
     def _clear_undeclared_here(self) -> None:
         """Clear marks recorded by this VM whose endpoints are no longer declared."""
--- a/src/pomelolane/membership/remote_members.py
+++ b/src/pomelolane/membership/remote_members.py
@@ -1,7 +1,8 @@
 """VMs of other data centres, retained while their delegates change.
 
 A new delegate knows few VMs of its data centre, and its digest replaces earlier ones.
-Therefore only a source that has listed a VM can show, by omitting it, that it is gone.
+Therefore a VM counts as gone at once if a source that listed it stops doing so, but
+not because a new source omits it.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
         """Return the VMs that are listed now or were listed recently.
 
         Without the latter, VMs that start together would consider live ones lost, and
-        the scheduler roles would move with each view.
+        scheduler roles would move at each change of the view.
 
         Args:
             listed: VMs in current digests.
--- a/src/pomelolane/membership/store_reader.py
+++ b/src/pomelolane/membership/store_reader.py
@@ -16,6 +16,6 @@
     """
     peers = [one for one in view.peers.values() if one.data_centre == data_centre]
     staying = [peer for peer in peers if not peer.draining]
-    # While no VM is ready yet, as after a common start, any of them may be chosen.
-    able = [peer for peer in staying if peer.ready] or staying
-    return vm_id == min((one.vm_id for one in able), default=vm_id)
+    # While no VM is ready yet, such as when all start together, any may be chosen.
+    candidates = [peer for peer in staying if peer.ready] or staying
+    return vm_id == min((one.vm_id for one in candidates), default=vm_id)
--- a/src/pomelolane/membership/transport.py
+++ b/src/pomelolane/membership/transport.py
@@ -1,7 +1,8 @@
 """Messages between VMs over ZeroMQ, on the process's one event loop.
 
 Each VM binds a ROUTER socket that it only reads from, and connects to each peer a
-DEALER socket that it only writes to. A reply is thus sent over the replier's own link.
+DEALER socket that it only writes to. A reply is sent over the replying VM's own DEALER
+socket.
 """
 
 from __future__ import annotations
--- a/src/pomelolane/membership/view.py
+++ b/src/pomelolane/membership/view.py
@@ -1,6 +1,7 @@
 """Holds the current view and notifies callbacks of its changes.
 
-A view is replaced as a whole and never modified, so each one is consistent.
+A view holds the VMs that this VM considers alive. It is replaced as a whole and never
+modified, so each one is consistent.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
         Args:
             peers: All VMs of the new view.
-            silent_ms: Silence of each VM that was dropped for it.
+            silent_ms: For each VM dropped because of its silence, how long that was.
             now_ms: Current time.
         """
         before = self._view
@@ -67,7 +68,7 @@
 
 
 def peer_from_heartbeat(heartbeat: Heartbeat) -> Peer:
-    """Build the peer of a heartbeat's sender."""
+    """Build the view's entry for a heartbeat's sender."""
     return Peer(
         heartbeat.vm_id,
         heartbeat.incarnation,
@@ -80,7 +81,7 @@
 
 
 def peer_from_state(state: MemberState, data_centre: str) -> Peer:
-    """Build the peer of a member state in a digest."""
+    """Build the view's entry for a VM listed in a digest."""
     return Peer(
         state.vm_id,
         state.incarnation,
--- a/tests/steps/membership_member_steps.py
+++ b/tests/steps/membership_member_steps.py
@@ -304,7 +304,7 @@
     with mock.patch.object(
         member.transport, "send", lambda other, message: context.contacted.append(other)
     ):
-        await member._reader._poll()
+        await member._list_reader._poll()
 
 
 @when('"{vm_id}" polls a list that contains "{other}" just after its heartbeat')
