--- a/src/pomelolane/messages/claims.py
+++ b/src/pomelolane/messages/claims.py
@@ -12,7 +12,7 @@
 
 
 class KeyQuery(Message, frozen=True):
-    """Query the holder of a claim for the state of the request."""
+    """Ask the holder of a claim for the state of the claimed request."""
 
     query_id: str
     key: str
@@ -23,7 +23,7 @@
 
     Attributes:
         query_id: Copied from the query.
-        known: Whether this incarnation holds the key.
+        known: Whether the replying VM holds the claim in its current start.
         dispatched: Whether any byte may have been sent to an endpoint.
         endpoint_id: Endpoint on which it runs or ran, empty if none.
         stream_id: Id of the engine's stream, empty if none.
--- a/src/pomelolane/messages/declarations.py
+++ b/src/pomelolane/messages/declarations.py
@@ -1,6 +1,7 @@
-"""Messages that distribute settings and announce leaving endpoints.
+"""Messages that distribute settings, leaving endpoints and changes of tables.
 
-A VM that lacks a version requests the branch's committed content from a peer.
+A VM that lacks a version of a settings branch requests the branch's committed content
+from a peer.
 """
 
 from __future__ import annotations
@@ -32,7 +33,12 @@
 
 
 class EndpointLeaving(Message, frozen=True):
-    """Announce a leaving endpoint; receivers stop granting it requests."""
+    """Announce a leaving endpoint; receivers stop granting it requests.
+
+    Attributes:
+        endpoint_id: The endpoint.
+        source: Origin of the announcement, such as an operator or the platform.
+    """
 
     endpoint_id: str
     source: str
@@ -46,13 +52,13 @@
 
 
 class RecordChange(msgspec.Struct, frozen=True, array_like=True):
-    """A changed record of a watched source.
+    """A changed record of a watched table.
 
     Attributes:
         key: Key of the record.
-        value: Bytes of the record in the source, empty if deleted.
+        value: Bytes of the record in the table, empty if deleted.
         deleted: Whether it was deleted.
-        version: Version of the source at the change, 0 if unknown.
+        version: Version of the table at the change, 0 if unknown.
     """
 
     key: str
@@ -62,14 +68,14 @@
 
 
 class WatchedChanges(Message, frozen=True):
-    """Changes of a watched source, read by one VM for its data centre.
+    """Changes of a watched table, read by one VM for its data centre.
 
     Attributes:
-        source: Name of the source.
+        source: Name of the table.
         after: Version after which the changes begin.
         version: Last version that the changes cover.
         changes: Records whose content has changed.
-        state_hash: Hash of the source's records as known to the sender at ``version``;
+        state_hash: Hash of the table's records as known to the sender at ``version``;
             a receiver that computes another hash has missed a change.
     """
 
--- a/src/pomelolane/messages/membership.py
+++ b/src/pomelolane/messages/membership.py
@@ -1,6 +1,7 @@
 """Messages for group membership.
 
 Heartbeats are sent between the VMs of a data centre, digests between data centres.
+Pulses replace those with unchanged content.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
         vm_id: Id of the sender.
         incarnation: Number of this start of the VM, higher after each restart.
         data_centre: Data centre of the sender.
-        sequence: Incremented with each heartbeat interval.
+        sequence: Incremented at each periodic heartbeat or pulse.
         ready: Whether it accepts callers' requests.
         draining: Whether it is shutting down.
         versions: Settings version in force by branch.
@@ -103,7 +104,7 @@
 
 
 class DigestWanted(Message, frozen=True):
-    """Request a VM's digest of a data centre."""
+    """Request the receiver's digest of a data centre."""
 
     data_centre: str
 
--- a/src/pomelolane/messages/scheduling.py
+++ b/src/pomelolane/messages/scheduling.py
@@ -209,9 +209,10 @@
 
 
 class Sync(Message, frozen=True):
-    """Gateway to scheduler: its requests of a service; also a keepalive.
+    """Gateway to scheduler: the gateway's requests of a service; also a keepalive.
 
-    It reveals lost submits, grants and releases.
+    The scheduler compares them with its own records, which reveals lost submits, grants
+    and releases.
 
     Attributes:
         epoch: The gateway's number for its current choice of scheduler.
@@ -276,7 +277,7 @@
 
 
 class Unfollow(Message, frozen=True):
-    """Gateway to its former scheduler: it uses another one now.
+    """Gateway to its former scheduler: the gateway uses another one now.
 
     Attributes:
         epoch: The gateway's number for the former choice of scheduler.
@@ -308,14 +309,17 @@
 
     Attributes:
         service: The service.
-        uses: All usage that still counts, or that since the last message.
+        uses: All usage that still counts; with ``adds``, only that since the last
+            message.
         adds: Whether it adds to earlier messages instead of replacing them.
-        account: Account of the usage, named by the sender's start. Other accounts of
-            the same VM remain unchanged.
+        account: Account of the usage, named by the VM that admitted it and that VM's
+            start. A message replaces only usage of its own account.
         is_passed_on: Whether the sender relays usage that others reported to it.
         leaves: Whether the sender gives up the scheduler role.
         guess_part: Fraction of each limit that the sender estimates as used, in
-            addition to reported or stored usage; None from a gateway that is alone.
+            addition to reported or stored usage; None in a relayed
+            message, or from a gateway that admitted requests while it reached no
+            scheduler.
     """
 
     service: str
