--- a/tests/membership/tables.feature
+++ b/tests/membership/tables.feature
@@ -1,5 +1,5 @@
 Feature: Membership tables
-  The steps set the time; nothing waits.
+  The steps set the time, so no scenario waits for a real timeout.
 
   Scenario: A silent VM is dropped after the heartbeat timeout
     Given a table with heartbeats of "x" at 0 ms and of "y" at 500 ms
@@ -70,7 +70,7 @@
     When a VM in the view is restarted
     Then 1 line is logged within 600 ms, of 1 VM
 
-  Scenario: A mark expires some time after it was last repeated
+  Scenario: A mark expires 30 s after it was last repeated
     Given an endpoint marked as leaving by another VM at 0 ms
     Then the mark holds at 29000 ms and is over at 30001 ms
 
--- a/tests/membership/waiting.py
+++ b/tests/membership/waiting.py
@@ -5,18 +5,18 @@
 WAIT_S = 10.0
 
 
-def stop_at_end(context, part):
+def stop_at_end(context, component):
     """Stop a component at the scenario's end, while its loop still runs."""
 
-    async def keep():
+    async def stop_when_cancelled():
         try:
             await asyncio.Event().wait()
         finally:
-            await part.stop()
+            await component.stop()
 
     context.keepers = [
         *getattr(context, "keepers", []),
-        context.loop.create_task(keep()),
+        context.loop.create_task(stop_when_cancelled()),
     ]
     context.run(asyncio.sleep(0))
 
@@ -34,7 +34,7 @@
     """Poll until ``condition()`` holds, for at most :data:`WAIT_S`."""
     try:
         async with asyncio.timeout(WAIT_S):
-            while not condition():  # noqa: ASYNC110 - any state of any part
+            while not condition():  # noqa: ASYNC110 - the state has no event to await
                 await asyncio.sleep(0.01)
     except TimeoutError:
         raise AssertionError(f"timed out waiting for: {what}") from None
--- a/tests/steps/membership_beats_steps.py
+++ b/tests/steps/membership_beats_steps.py
@@ -84,14 +84,14 @@
 
 
 @given('"b1" and "b2" are delegates of another data centre until {ms:d} ms')
-def step_speak(context, ms):
+def step_two_delegates(context, ms):
     call(context, context.aligned.send_digest, "b1", "b1 b2")
     call(context, context.aligned.send_digest, "b2", "b1 b2")
     context.run(context.aligned.run_until(ms))
 
 
 @given('"b1" is the only delegate and lists "{names}" until {ms:d} ms')
-def step_speaks_alone(context, names, ms):
+def step_one_delegate(context, names, ms):
     call(context, context.aligned.send_digest, "b1", names)
     context.run(context.aligned.run_until(ms))
 
--- a/tests/steps/membership_member_steps.py
+++ b/tests/steps/membership_member_steps.py
@@ -15,7 +15,7 @@
 from tests.membership.region import Region
 from tests.membership.waiting import call, eventually, stop_at_end
 
-NAMES = "abcdef"
+DATA_CENTRE_LETTERS = "abcdef"
 
 
 class FakeList:
@@ -38,7 +38,7 @@
 def layout_of(data_centres, count):
     return {
         f"dc{name}": [f"{name}{number}" for number in range(1, count + 1)]
-        for name in NAMES[:data_centres]
+        for name in DATA_CENTRE_LETTERS[:data_centres]
     }
 
 
@@ -72,7 +72,7 @@
 
 @given("every member sees all running members")
 @then("every member sees all running members")
-def step_agree(context):
+def step_views_agree(context):
     wait_for(context, context.region.agree, "all views agree")
 
 
@@ -124,8 +124,8 @@
         if member.data_centre == "dca"
     ]
     for member in neighbours:
-        heard = member._context.table.find(context.gone)
-        assert heard is None, "still there after its final heartbeat"
+        heartbeat = member._context.table.find(context.gone)
+        assert heartbeat is None, "still there after its final heartbeat"
 
 
 @when('the first delegate of "{dc}" is draining')
@@ -188,12 +188,12 @@
         assert region.sees(vm_id) == set(region.members)
 
 
-def note_missing(context, wanted, observers):
-    def note(view):
-        context.missed.extend(wanted - view.peers.keys())
+def record_missing(context, wanted, observers):
+    def record(view):
+        context.missing.extend(wanted - view.peers.keys())
 
     for vm_id in observers:
-        context.region.members[vm_id].on_change(note)
+        context.region.members[vm_id].on_change(record)
 
 
 @given("only delegates still hold digests received directly")
@@ -215,8 +215,8 @@
     region = context.region
     context.gone = region.delegates("dca")
     near = of_data_centre(context, "dca")
-    context.missed = []
-    note_missing(context, of_data_centre(context, "dcb"), near)
+    context.missing = []
+    record_missing(context, of_data_centre(context, "dcb"), near)
     for vm_id in context.gone:
         call(context, region.members[vm_id].set_draining)
 
@@ -230,9 +230,9 @@
         return len(now) == 2 and not now & context.gone
 
     wait_for(context, moved, "two others are delegates")
-    frames = region.members[min(region.delegates("dca"))].transport
-    wanted = frames.frames_sent + 10
-    wait_for(context, lambda: frames.frames_sent > wanted, "further heartbeats")
+    transport = region.members[min(region.delegates("dca"))].transport
+    wanted = transport.frames_sent + 10
+    wait_for(context, lambda: transport.frames_sent > wanted, "further heartbeats")
 
 
 @when('both delegates of "{dc}" are killed')
@@ -241,9 +241,9 @@
     killed = region.delegates(dc)
     rest = of_data_centre(context, dc) - killed
     far = of_data_centre(context, "dcb")
-    context.missed = []
-    note_missing(context, rest, far)
-    note_missing(context, far, rest)
+    context.missing = []
+    record_missing(context, rest, far)
+    record_missing(context, far, rest)
     for vm_id in killed:
         context.run(region.kill(vm_id))
 
@@ -251,7 +251,7 @@
 @then("no VM has left the view meanwhile")
 @then('neither the rest of "dca" nor "dcb" has ever left the other\'s view')
 def step_never_left(context):
-    assert not context.missed, context.missed
+    assert not context.missing, context.missing
 
 
 @when('member "{vm_id}" marks endpoint "{endpoint}" as leaving with source "{source}"')
@@ -319,7 +319,7 @@
 
 
 @then('"{vm_id}" has contacted "{other}" without waiting for its next heartbeat')
-def step_tried(context, vm_id, other):
+def step_contacted(context, vm_id, other):
     assert context.contacted == [other], context.contacted
 
 
@@ -336,7 +336,7 @@
 
 
 @when("{count:d} further heartbeats have been sent")
-def step_beats(context, count):
+def step_heartbeats_sent(context, count):
     region = context.region
     transport = region.members["a1"].transport
     context.frames = transport.frames_sent
@@ -398,7 +398,7 @@
 
 
 @then("the process has detected its pause")
-def step_noticed(context):
+def step_pause_detected(context):
     read = asyncio.to_thread(context.child.stdout.readline)
     line = context.run(asyncio.wait_for(read, 10.0))
     assert line.startswith("paused "), line
--- a/tests/steps/membership_recorded_steps.py
+++ b/tests/steps/membership_recorded_steps.py
@@ -63,31 +63,31 @@
     context.run(context.marks[vm_id].record(endpoint_id))
 
 
-@when("recorded marks are {seconds:d} s old")
+@when("the recorded marks are {seconds:d} s old")
 def step_old(context, seconds):
     context.wall.advance(seconds * 1000.0)
     context.run(context.marks["b"].read())
 
 
-@then('recorded marks make delegate "{vm_id}" mark "{endpoint_id}"')
+@then('polling the table makes delegate "{vm_id}" mark "{endpoint_id}"')
 def step_marked(context, vm_id, endpoint_id):
     context.run(context.marks[vm_id].read())
     assert context.members[vm_id].marked == {endpoint_id}
 
 
-@then('recorded marks make delegate "{vm_id}" clear "{endpoint_id}"')
+@then('polling the table makes delegate "{vm_id}" clear "{endpoint_id}"')
 def step_cleared(context, vm_id, endpoint_id):
     del endpoint_id
     step_none(context, vm_id)
 
 
-@then('recorded marks leave "{vm_id}" without a mark')
+@then('polling the table leaves "{vm_id}" without a mark')
 def step_none(context, vm_id):
     context.run(context.marks[vm_id].read())
     assert not context.members[vm_id].marked
 
 
-@then('recorded marks make "{vm_id}" clear its own mark of "{endpoint_id}"')
+@then('polling the table makes "{vm_id}" clear its own mark of "{endpoint_id}"')
 def step_own_cleared(context, vm_id, endpoint_id):
     context.members[vm_id].is_delegate = False
     assert endpoint_id in context.members[vm_id].marked
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -194,7 +194,7 @@
     except SettingError as error:
         assert error.flag == "--host"
     else:
-        raise AssertionError("it listens")
+        raise AssertionError("the transport started to listen without keys")
 
 
 @given('transport "b" was started again with a higher incarnation')
@@ -358,9 +358,9 @@
 
 @when('more than the longest queue time passes and "b" is back')
 def step_back(context):
-    link = context.recorders["a"].transport
-    wait = lambda: link.messages_dropped == 1  # noqa: E731
-    context.run(eventually(wait, f"dropped after {MAX_QUEUE_TIME_MS} ms"))
+    transport = context.recorders["a"].transport
+    dropped = lambda: transport.messages_dropped == 1  # noqa: E731
+    context.run(eventually(dropped, f"dropped after {MAX_QUEUE_TIME_MS} ms"))
     start_recorder(context, "b", incarnation=2)
     exchange_addresses(context)
 
