--- a/src/pomelolane/membership/context.py
+++ b/src/pomelolane/membership/context.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from pomelolane.membership.contacts import Contacts
     from pomelolane.membership.heartbeat import HeartbeatTable
-    from pomelolane.membership.leaving import LeavingMarks
+    from pomelolane.membership.leaving_marks import LeavingMarks
     from pomelolane.membership.pause import PauseDetector
     from pomelolane.membership.transport import ZmqTransport
     from pomelolane.ports import Clock
@@ -67,5 +67,8 @@
     clock: Clock
 
     def heard_ms(self) -> float:
-        """Return the time at which a message read now shows its sender alive."""
+        """Return the time to record as last heard for the sender of a message.
+
+        It applies to messages that are read now.
+        """
         return self.pause.heard_ms(self.clock.now_ms())
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -13,8 +13,8 @@
 from pomelolane.logs import log_event
 from pomelolane.membership.digests import DIGEST_TIMEOUT_MS, DigestTable, newer_state
 from pomelolane.membership.hashing import hash_of_digest
-from pomelolane.membership.heartbeat import INTERVAL_MS
-from pomelolane.membership.remotes import RemoteMembers
+from pomelolane.membership.heartbeat import HEARTBEAT_INTERVAL_MS
+from pomelolane.membership.remote_members import RemoteMembers
 from pomelolane.membership.rendezvous import choose_several
 from pomelolane.membership.view import peer_from_state
 from pomelolane.messages import Digest, DigestPulse, DigestWanted, MemberState
@@ -29,12 +29,12 @@
     from pomelolane.messages import Heartbeat
     from pomelolane.ports import Peer
 
-DELEGATES = 2
-PROBES = 3
-"""VMs of a silent data centre that are contacted at one heartbeat."""
+DELEGATES_PER_DATA_CENTRE = 2
+MAX_REMOTE_PROBES = 3
+"""Maximum of VMs of a silent data centre that are contacted at one heartbeat."""
 
 INHERITED_SOURCE = ""
-"""Source of the digests that a new delegate had before any arrived directly."""
+"""Source under which a new delegate stores the digests relayed to it before."""
 
 
 def choose_delegates(
@@ -42,12 +42,17 @@
 ) -> tuple[str, ...]:
     """Choose a data centre's delegates, draining VMs only if all are draining."""
     staying = [vm_id for vm_id, draining in draining_by_vm.items() if not draining]
-    return choose_several(data_centre, staying or draining_by_vm, DELEGATES)
+    return choose_several(
+        data_centre, staying or draining_by_vm, DELEGATES_PER_DATA_CENTRE
+    )
 
 
 class DigestExchange:
     """Sends digests of this data centre and stores those of the others.
 
+    Direct digests arrive from VMs of other data centres, relayed ones from VMs of this
+    data centre.
+
     Args:
         context: State and components shared within the package.
         on_change: Called after a digest was stored.
@@ -65,11 +70,11 @@
         self._on_digest = on_digest
         self._direct = DigestTable(from_members=True)
         self._relayed = DigestTable(from_members=False)
-        self._members = RemoteMembers()
-        self._sent: dict[str, int] = {}
-        self._replied_ms: dict[str, float] = {}
-        self._last_hash = -1
-        self._beats = 0
+        self._remote_members = RemoteMembers()
+        self._sent_hashes: dict[str, int] = {}
+        self._corrected_ms: dict[str, float] = {}
+        self._published_hash = -1
+        self._heartbeat_rounds = 0
         self._advertise_until_ms = 0.0
         self.is_delegate = False
         context.transport.subscribe(Digest, self._handle_digest)
@@ -94,10 +99,10 @@
         gone = self._direct.pop_unlisted() | self._relayed.pop_unlisted()
         now_ms = self._context.clock.now_ms()
         data_centres = self.data_centres()
-        return self._members.update(peers, listed_ms, data_centres, gone, now_ms)
+        return self._remote_members.update(peers, listed_ms, data_centres, gone, now_ms)
 
     def remote_hashes(self) -> dict[str, int]:
-        """Return the hashes of directly received digests, empty if no delegate.
+        """Return the hashes of directly received digests; empty if this is no delegate.
 
         A former delegate keeps returning them for :data:`DIGEST_TIMEOUT_MS`, until its
         successors have received digests of their own.
@@ -105,8 +110,8 @@
         now_ms = self._context.clock.now_ms()
         if not self.is_delegate and now_ms >= self._advertise_until_ms:
             return {}
-        tables = self._direct
-        return {each: tables.merged(each).digest_hash for each in tables.data_centres()}
+        direct = self._direct
+        return {each: direct.merged(each).digest_hash for each in direct.data_centres()}
 
     def leaving(self) -> set[str]:
         """Return the endpoints that other data centres mark as leaving."""
@@ -144,29 +149,29 @@
             self._copy_relayed_digests(now_ms)
         else:
             self._advertise_until_ms = now_ms + DIGEST_TIMEOUT_MS
-        self._sent.clear()
-        self._last_hash = -1
+        self._sent_hashes.clear()
+        self._published_hash = -1
         return True
 
     def expire(self, now_ms: float) -> bool:
         """Drop expired digests; return whether the remote VMs may have changed."""
         direct = self._direct.expire(now_ms)
         relayed = self._relayed.expire(now_ms)
-        return direct or relayed or self._members.has_overdue(now_ms)
+        return direct or relayed or self._remote_members.has_overdue(now_ms)
 
     def restart_timeouts(self, now_ms: float) -> None:
         """Restart all silence timeouts, after a pause of this process."""
         self._direct.restart_timeouts(now_ms)
         self._relayed.restart_timeouts(now_ms)
 
-    def beat(self, now_ms: float) -> None:
+    def send_digests(self, now_ms: float) -> None:
         """As a delegate, send the periodic digest or pulse."""
         if not self.is_delegate:
             return
-        self._beats += 1
-        digest = self.own()
+        self._heartbeat_rounds += 1
+        digest = self.own_digest()
         digest_hash = hash_of_digest(digest)
-        self._last_hash = digest_hash
+        self._published_hash = digest_hash
         for vm_id in self._recipients(now_ms):
             self._send_digest(vm_id, digest, digest_hash)
 
@@ -174,15 +179,15 @@
         """As a delegate, send this data centre's digest at once if it changed."""
         if not self.is_delegate:
             return
-        digest = self.own()
+        digest = self.own_digest()
         digest_hash = hash_of_digest(digest)
-        if digest_hash == self._last_hash:
+        if digest_hash == self._published_hash:
             return
-        self._last_hash = digest_hash
+        self._published_hash = digest_hash
         for vm_id in self.remote_delegates():
             self._send_digest(vm_id, digest, digest_hash)
 
-    def own(self, *, reply: bool = False) -> Digest:
+    def own_digest(self, *, reply: bool = False) -> Digest:
         """Return the current digest of this data centre."""
         context = self._context
         heartbeats = list(context.table.heartbeats())
@@ -227,7 +232,7 @@
         local = sender in context.table
         table = self._relayed if local else self._direct
         table.put(sender, digest, context.heard_ms())
-        context.contacts.heard(sender, now_ms)
+        context.contacts.record_heard(sender, now_ms)
         self._on_digest(sender, digest)
         self._on_change()
         if not local and not digest.reply:
@@ -247,44 +252,50 @@
     def _handle_wanted(self, sender: str, wanted: DigestWanted) -> None:
         context = self._context
         if wanted.data_centre == context.data_centre:
-            context.transport.send(sender, self.own())
+            context.transport.send(sender, self.own_digest())
             return
         merged = self._direct.merged(wanted.data_centre)
         if merged is not None and sender in context.table:
             context.transport.send(sender, merged.digest)
 
     def _send_correction(self, sender: str, now_ms: float) -> None:
-        # The sender wrongly takes this VM for a delegate, so it gets the current
+        # The sender wrongly considers this VM a delegate, so it gets the current
         # members. Corrections are rate-limited, and a reply is never replied to.
         if self.is_delegate:
             return
-        if now_ms - self._replied_ms.get(sender, -INTERVAL_MS) < INTERVAL_MS:
+        if (
+            now_ms - self._corrected_ms.get(sender, -HEARTBEAT_INTERVAL_MS)
+            < HEARTBEAT_INTERVAL_MS
+        ):
             return
-        self._replied_ms[sender] = now_ms
-        self._context.transport.send(sender, self.own(reply=True))
+        self._corrected_ms[sender] = now_ms
+        self._context.transport.send(sender, self.own_digest(reply=True))
 
     # --- helpers ------------------------------------------------------------
 
     def _send_digest(self, vm_id: str, digest: Digest, digest_hash: int) -> None:
         message: msgspec.Struct = digest
-        if self._sent.get(vm_id) == digest_hash:
+        if self._sent_hashes.get(vm_id) == digest_hash:
             message = DigestPulse(digest.data_centre, digest_hash)
         if self._context.transport.send(vm_id, message):
-            self._sent[vm_id] = digest_hash
+            self._sent_hashes[vm_id] = digest_hash
 
     def _recipients(self, now_ms: float) -> list[str]:
-        # Sends to the delegates of a data centre in turn: each hears from two
-        # delegates of every data centre once a second, at half the traffic.
-        targets = []
+        # Alternates between the delegates of each data centre at every heartbeat: a
+        # delegate hears from each remote one once a second, and sending to both at
+        # every heartbeat would double the traffic.
+        recipients = []
         for data_centre in sorted(self.data_centres()):
             delegates = self._delegates_of(data_centre)
             if delegates:
-                targets.append(delegates[self._beats % len(delegates)])
+                recipients.append(delegates[self._heartbeat_rounds % len(delegates)])
         contacts = self._context.contacts
         silent = contacts.data_centres() - set(self._direct.data_centres())
         for data_centre in sorted(silent - {self._context.data_centre}):
-            targets += contacts.due(data_centre, targets, PROBES, now_ms)
-        return targets
+            recipients += contacts.due_probes(
+                data_centre, recipients, MAX_REMOTE_PROBES, now_ms
+            )
+        return recipients
 
     def _delegates_of(self, data_centre: str) -> tuple[str, ...]:
         states = self._states(data_centre).values()
@@ -302,8 +313,8 @@
     def _merged_digests(self, data_centre: str) -> list[MergedDigest]:
         relayed = self._relayed.merged(data_centre)
         direct = self._direct.merged(data_centre)
-        # Digests reach a VM that is no delegate directly only by mistake, and at no
-        # regular interval, so relayed ones take precedence.
+        # A VM that is not a delegate receives digests directly only by mistake and
+        # irregularly, so relayed ones take precedence.
         if relayed is not None and not self.is_delegate:
             direct = None
         return [each for each in (relayed, direct) if each is not None]
--- a/tests/membership/waiting.py
+++ b/tests/membership/waiting.py
@@ -1,22 +1,22 @@
-"""Waiting for conditions, and ending parts while the loop still runs."""
+"""Helpers to await conditions and to stop components before the loop ends."""
 
 import asyncio
 
 WAIT_S = 10.0
 
 
-def stop_at_end(context, part):
-    """Stop a part while the scenario's loop still runs."""
+def stop_at_end(context, component):
+    """Stop a component at the scenario's end, while its loop still runs."""
 
-    async def keep():
+    async def stop_when_cancelled():
         try:
             await asyncio.Event().wait()
         finally:
-            await part.stop()
+            await component.stop()
 
     context.keepers = [
         *getattr(context, "keepers", []),
-        context.loop.create_task(keep()),
+        context.loop.create_task(stop_when_cancelled()),
     ]
     context.run(asyncio.sleep(0))
 
@@ -31,10 +31,10 @@
 
 
 async def eventually(condition, what):
-    """Wait until ``condition()`` holds, without a time of its own."""
+    """Poll until ``condition()`` holds, for at most :data:`WAIT_S`."""
     try:
         async with asyncio.timeout(WAIT_S):
-            while not condition():  # noqa: ASYNC110 - any state of any part
+            while not condition():  # noqa: ASYNC110 - the state has no event to await
                 await asyncio.sleep(0.01)
     except TimeoutError:
-        raise AssertionError(f"never came true: {what}") from None
+        raise AssertionError(f"timed out waiting for: {what}") from None
