--- a/src/pomelolane/forwarding/budget.py
+++ b/src/pomelolane/forwarding/budget.py
@@ -1,8 +1,8 @@
-"""The budget of repeated sends, shared out between the VMs that are alive.
+"""Retry budget of a service, divided between the VMs that are alive.
 
-Each VM may spend a part of what its own requests earn and an equal share of
-the slack, so that all of them together stay within the whole budget in any
-window. A VM that starts anew has one repeat to spend at first.
+Each VM may spend a part of what its own requests earn and an equal share of the slack,
+so that all VMs together stay within the whole budget in any window. A VM that starts
+has one retry to spend.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
     from pomelolane.ports import Clock
 
-_EARNED_PART = 0.7
-"""Part of the allowed ratio that is used; the rest covers uneven windows."""
+_EARNED_SHARE = 0.7
+"""Part of the allowed ratio that is used; the rest covers uneven load over windows."""
 
-_SLACK_PART = 0.45
-"""Part of the slack that may be saved up, and that comes anew in a window: both
-together stay below the whole."""
+_SLACK_SHARE = 0.45
+"""Part of the slack that may be saved up, and that is added within a window; both
+together must stay below the whole slack."""
 
-_FIRST_REPEATS = 1.0
+_INITIAL_RETRIES = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAllowance:
-    """What is allowed over all VMs in any window.
+    """Retries that all VMs together may send in any window.
 
     Attributes:
-        ratio: Repeats for each request.
-        slack: Repeats beside.
+        ratio: Retries per request.
+        slack: Retries allowed in addition, per window.
         window_ms: Length of a window.
     """
 
@@ -41,47 +41,47 @@
 
 
 class SharedRetryBudget:
-    """A token bucket for one service on one VM.
+    """Token bucket of the retries of one service on one VM.
 
     Args:
-        allowance: What all VMs may do together.
-        vm_count: Returns how many VMs share it.
-        clock: Time.
+        allowance: Retries allowed over all VMs.
+        vm_count: Returns the number of VMs that share the allowance.
+        clock: Source of the current time.
     """
 
     def __init__(
         self, allowance: RetryAllowance, vm_count: Callable[[], int], clock: Clock
     ) -> None:
-        self._ratio = allowance.ratio * _EARNED_PART
-        self._slack = allowance.slack * _SLACK_PART
+        self._ratio = allowance.ratio * _EARNED_SHARE
+        self._slack = allowance.slack * _SLACK_SHARE
         self._window_ms = allowance.window_ms
         self._vm_count = vm_count
         self._clock = clock
-        self._balance = _FIRST_REPEATS
-        self._at_ms = clock.now_ms()
+        self._balance = _INITIAL_RETRIES
+        self._refilled_ms = clock.now_ms()
 
     @property
     def balance(self) -> float:
-        """Repeats that may be sent now."""
-        self._fill(0.0)
+        """Number of retries that may be sent now."""
+        self._refill(0.0)
         return self._balance
 
     def earn(self) -> None:
-        """Count a request's first send."""
-        self._fill(self._ratio)
+        """Add what a request's first send earns."""
+        self._refill(self._ratio)
 
     def spend(self) -> bool:
-        """Take one repeat; False where the budget is used up."""
-        self._fill(0.0)
+        """Take one retry from the budget; return False if it is used up."""
+        self._refill(0.0)
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
         return True
 
-    def _fill(self, earned: float) -> None:
+    def _refill(self, earned: float) -> None:
         now_ms = self._clock.now_ms()
         share = self._slack / max(1, self._vm_count())
-        gained = share * (now_ms - self._at_ms) / self._window_ms
-        self._at_ms = now_ms
-        most = max(_FIRST_REPEATS, share)
-        self._balance = min(most, self._balance + earned + gained)
+        refilled = share * (now_ms - self._refilled_ms) / self._window_ms
+        self._refilled_ms = now_ms
+        capacity = max(_INITIAL_RETRIES, share)
+        self._balance = min(capacity, self._balance + earned + refilled)
--- a/src/pomelolane/forwarding/call.py
+++ b/src/pomelolane/forwarding/call.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the forwarding gateway."""
+"""A caller's request and its state while the gateway forwards it."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardCall:
-    """A checked request.
+    """A request that passed the checks.
 
     Attributes:
-        local_id: This VM's own id of it, unique over all VMs.
-        description: What the caller said of it.
-        route: Its route.
-        service: The service drawn from the route's targets.
+        local_id: Id given by this VM, unique over all VMs.
+        description: What the caller's headers say about the request.
+        route: Matching route.
+        service: Service drawn from the route's targets.
         organisation: The caller's organisation, empty on public routes.
-        rank: 0 is the most urgent.
-        charge_tokens: What it counts against the organisation's limit.
+        rank: Priority, 0 for the most urgent.
+        charge_tokens: Tokens charged to the organisation's limit.
         method: HTTP method.
-        target: Path and query, as they came.
-        headers: Headers, as they came.
-        body: Whole body.
-        accepted_ms: When its head had come.
-        limit_ms: Time from then until the final answer is due.
-        version: Version of the configuration that decided.
-        fingerprint: The same for every attempt that asks for the same.
+        target: Path and query, unchanged.
+        headers: Headers, unchanged.
+        body: Complete body.
+        accepted_ms: Time at which the head was received.
+        limit_ms: Time allowed from `accepted_ms` until the end of the answer.
+        version: Version of the configuration used for the checks.
+        fingerprint: Hash of the request's content, equal for repeated requests.
     """
 
     local_id: str
@@ -53,28 +53,28 @@
 
     @property
     def log_id(self) -> str:
-        """The id that callers know."""
+        """The caller's request id, or the local id if the caller gave none."""
         return self.description.request_id or self.local_id
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return the time until the final answer is due."""
+        """Return the time left of the request's time limit."""
         return self.limit_ms - (now_ms - self.accepted_ms)
 
 
 @dataclass(slots=True)
 class CallState:
-    """What became of a request so far.
+    """Progress of a request.
 
     Attributes:
         call: The request.
-        sends: Endpoints that the request has reached.
-        tries: Grants asked for.
-        may_have_run: Whether an endpoint may have begun it.
-        answer_begun: Whether the caller has the head of an answer.
-        excluded: Endpoints that it is not offered to again.
-        last_event_id: Last whole event that the caller has.
-        endpoint_id: Where it was sent last.
-        run: Its last send, until it is known what became of it.
+        sends: Number of times it was sent to an endpoint.
+        tries: Number of grants obtained.
+        may_have_run: Whether an endpoint may have begun to run it.
+        answer_begun: Whether the head of an answer was sent to the caller.
+        excluded: Endpoints that it must not be sent to again.
+        last_event_id: Id of the last complete event sent to the caller.
+        endpoint_id: Endpoint it was sent to last.
+        run: Quarantine's record of the last send, until its result is known.
     """
 
     call: ForwardCall
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -61,7 +61,7 @@
     from pomelolane.ports import Clock, Grant, SchedulerClient
     from pomelolane.quarantine import CrashWatch, Quarantine
 
-MAX_TRIES = 6
+MAX_GRANTS = 6
 """Most grants that one request asks for. Refused connections use up grants, but are not
 counted as sends."""
 
@@ -173,7 +173,7 @@
         """Serve one exchange until it is answered or its caller has disconnected."""
         task = asyncio.current_task()
         try:
-            call = await self._intake.take(exchange)
+            call = await self._intake.accept(exchange)
         except BadRequestError as error:
             await self._reject(exchange, error)
             return
@@ -377,7 +377,7 @@
     def _can_retry(self, state: CallState) -> bool:
         """Return whether the request may be sent again, regardless of the budget."""
         call = state.call
-        if state.tries >= MAX_TRIES or state.sends >= call.route.attempts:
+        if state.tries >= MAX_GRANTS or state.sends >= call.route.attempts:
             return False
         if state.may_have_run and not call.route.is_repeatable:
             return False
--- a/src/pomelolane/forwarding/handles.py
+++ b/src/pomelolane/forwarding/handles.py
@@ -1,4 +1,4 @@
-"""What a forwarded request tells the scheduler of itself when it asks for a slot."""
+"""Builds the scheduler's request handle of a forwarded request."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     from pomelolane.forwarding.call import CallState
 
 RESUME_MS = 150
-"""Time within which a broken stream should go on: less than the objective of any new
-request on the users' sheets, so that it is due first in its rank."""
+"""Time within which a broken stream should resume: less than the objective of any new
+request that the users specified, so that it is due first within its rank."""
 
 
 def handle_from_state(state: CallState, data_centre: str, now_ms: float) -> Handle:
-    """Return the handle of a request as it stands now.
+    """Return the handle with which a request asks for a slot.
 
     Args:
-        state: The request.
-        data_centre: Where its gateway stands.
-        now_ms: The time.
+        state: State of the request.
+        data_centre: Data centre of the gateway.
+        now_ms: Current time.
     """
     call = state.call
     described = call.description
@@ -31,8 +31,8 @@
     if patience_ms:
         patience_ms = max(1, int(patience_ms - (now_ms - call.accepted_ms)))
     if state.answer_begun:
-        # Its caller holds a part of it: it goes before new ones of its rank, and is
-        # not refused early.
+        # The caller has a part of the answer, so the request precedes new ones of its
+        # rank and is not refused early.
         objective_ms = patience_ms = 0
         late_window_ms = max(0, remaining_ms - RESUME_MS)
     return Handle(
@@ -47,7 +47,7 @@
         decode_tokens=described.answer_hint_tokens or described.answer_limit_tokens,
         data_centre=data_centre,
         excluded=state.excluded,
-        # What no endpoint has begun is charged to the limit like a new one.
+        # A request that no endpoint has begun is charged to the limit like a new one.
         attempt=state.sends,
         objective_ms=objective_ms,
         late_window_ms=late_window_ms,
--- a/src/pomelolane/forwarding/intake.py
+++ b/src/pomelolane/forwarding/intake.py
@@ -1,4 +1,4 @@
-"""Checks a caller's request: route, key, body."""
+"""Checks callers' requests: route, key and body."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     from pomelolane.ports.forwarding import CallDescription, Dialect
 
 DEFAULT_DEADLINE_MS = 30_000
-"""For callers that name no deadline on a route without a timeout."""
+"""Deadline of requests without a deadline header on a route without a timeout."""
 
-START_WAIT_MS = 800
-"""How long a request waits for a starting VM; callers leave a VM that has not read
-them after a second."""
+START_TIMEOUT_MS = 800
+"""Longest time that a request waits for a starting VM; callers disconnect from a VM
+that has not read their request after a second."""
 
 BODY_TIMEOUT_MS = 10_000
-"""Longest time for a body; callers on slow links send megabytes in less."""
+"""Longest time to read a body; callers on slow links send megabytes in less."""
 
 
 class Intake:
-    """Turns exchanges into checked calls.
+    """Turns HTTP exchanges into checked calls.
 
     Args:
-        dialect: Reads the callers' heads.
-        clock: Time.
+        dialect: Reads the callers' headers.
+        clock: Source of the current time.
     """
 
     def __init__(self, dialect: Dialect, clock: Clock) -> None:
@@ -45,13 +45,13 @@
         self._configuration: Configuration | None = None
         self._opened = asyncio.Event()
 
-    def adopt(self, configuration: Configuration) -> None:
-        """Check by another configuration from now on."""
+    def use_configuration(self, configuration: Configuration) -> None:
+        """Use this configuration for the checks from now on."""
         self._routes = RouteTable(configuration.routes)
         self._configuration = configuration
 
     def open(self) -> None:
-        """Take requests from now on: the VM knows its settings and the others."""
+        """Accept requests from now on: this VM knows its settings and the other VMs."""
         self._opened.set()
 
     @property
@@ -59,16 +59,16 @@
         """Whether a configuration is known."""
         return self._configuration is not None
 
-    async def take(self, exchange: Exchange) -> ForwardCall:
+    async def accept(self, exchange: Exchange) -> ForwardCall:
         """Check a request and read its body.
 
         Raises:
-            BadRequestError: It cannot be served, with the status to answer.
+            BadRequestError: The request cannot be served; it has the status to answer.
         """
         accepted_ms = self._clock.now_ms()
         if not self._opened.is_set():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._opened.wait(), START_WAIT_MS / 1000)
+                await asyncio.wait_for(self._opened.wait(), START_TIMEOUT_MS / 1000)
         configuration = self._configuration
         if configuration is None or not self._opened.is_set():
             raise BadRequestError(503, Reason.NOT_READY, "the VM is starting")
@@ -80,7 +80,7 @@
         limit_ms = description.deadline_ms or DEFAULT_DEADLINE_MS
         if route.timeout_ms:
             limit_ms = min(limit_ms, route.timeout_ms)
-        target = _target(exchange)
+        target = _target_from_exchange(exchange)
         tokens = description.prompt_tokens + description.answer_limit_tokens
         return ForwardCall(
             local_id=uuid.uuid4().hex,
@@ -120,7 +120,7 @@
     return organisation
 
 
-def _target(exchange: Exchange) -> bytes:
+def _target_from_exchange(exchange: Exchange) -> bytes:
     if exchange.query:
         return exchange.path + b"?" + exchange.query
     return exchange.path
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -1,4 +1,4 @@
-"""Keeps the record of organisations' use where the next scheduler finds it."""
+"""Saves and loads usage records, so that the next scheduler of a service has them."""
 
 from __future__ import annotations
 
@@ -18,44 +18,46 @@
     from pomelolane.scheduler.spans import Use
 
 TICK_S = 0.25
-"""Shortest time between two records."""
+"""Interval between checks for usage to record."""
 
-CALM_TICKS = 12
-"""Ticks after which a service is recorded in any case."""
+MAX_TICKS_BETWEEN_RECORDS = 12
+"""Ticks after which a service is recorded regardless of its unrecorded usage."""
 
 LOAD_DELAY_S = 0.02
-"""Time from taking a role until the records are read: views that change several times
-in a row, as when many VMs start, move roles that are left again at once. Until then the
-scheduler lets pass what is allowed beside the limits."""
+"""Delay between taking a role and reading the records. When many VMs start, the view
+changes several times in a row, and roles are given up again at once. Until the records
+are read, the scheduler admits only the permitted overshoot of the limits."""
 
-READ_AGAIN_TICKS = 2
-"""Ticks between two tries to read the record while a guess stands in for it."""
+READ_RETRY_TICKS = 2
+"""Ticks between attempts to read the record while the limits are guessed."""
 
-LOADED_S = 0.25
-"""How long a VM that starts waits for records at most; the store answers in a few
-milliseconds, and callers wait."""
+LOAD_TIMEOUT_S = 0.25
+"""Longest time that a starting VM waits for the records. The store answers in a few
+milliseconds, and callers are waiting."""
 
 UNRECORDED_SHARE = 0.25
-"""Part of what the settings allow beside a limit that may pass unrecorded, and so
-unknown to the next scheduler; the rest is for what passes until a record is written,
-and for gateways that go alone."""
+"""Part of a limit's permitted overshoot that may stay unrecorded, and so unknown to the
+next scheduler. The rest is for usage admitted until a record is written, and for
+gateways without a scheduler."""
 
 
 class UseRecord(Protocol):
-    """Where the record is kept."""
+    """Storage of usage records."""
 
     async def save(self, service: str, uses: Sequence[Use]) -> None:
         """Replace this VM's record of a service.
 
         Raises:
-            PlatformError: It may not have been replaced.
+            PlatformError: The record may not have been replaced.
         """
 
     async def load(self) -> Sequence[Use]:
-        """Return what all others recorded, of all services, with present ages.
+        """Return the recorded uses of all other schedulers and services.
+
+        Their ages are as of now.
 
         Raises:
-            PlatformError: It cannot be read.
+            PlatformError: The records cannot be read.
         """
 
 
@@ -63,10 +65,10 @@
     """Saves and loads the records of the services that this VM schedules.
 
     Args:
-        coordination: This VM's part in scheduling.
-        record: Where records are kept.
-        told: What other VMs tell when they leave a role.
-        load_delay_s: Time from taking a role until the records are read.
+        coordination: Scheduler roles of this VM and its view of the others.
+        record: Storage of the records.
+        usage_exchange: Sends and receives usage reports between VMs.
+        load_delay_s: Delay between taking a role and reading the records.
     """
 
     def __init__(
@@ -80,14 +82,14 @@
         self._coordination = coordination
         self._record = record
         self._usage_exchange = usage_exchange
-        self._saved: dict[str, bool] = {}
+        self._saved_nonempty: dict[str, bool] = {}
         self._overdue: set[str] = set()
-        self._awaiting: set[str] = set()
-        self._unread: dict[str, int] = {}
+        self._scheduled_loads: set[str] = set()
+        self._read_retry_ticks: dict[str, int] = {}
         self._loading: set[asyncio.Task[None]] = set()
-        coordination.role.on_taken = self._taken
-        coordination.role.on_left = self._left
-        usage_exchange.on_role_released = self._heard
+        coordination.role.on_taken = self._on_role_taken
+        coordination.role.on_left = self._on_role_left
+        usage_exchange.on_role_released = self._on_peer_released
 
     async def run(self) -> None:
         """Save until cancelled."""
@@ -95,22 +97,22 @@
         while True:
             await asyncio.sleep(TICK_S)
             ticks += 1
-            self.read_again()
-            await self.save(only_due=ticks % CALM_TICKS != 0)
+            self.retry_reads()
+            await self.save(only_due=ticks % MAX_TICKS_BETWEEN_RECORDS != 0)
 
     async def wait_until_loaded(self) -> None:
-        """Return when the records of the roles taken until now were read, or soon.
+        """Wait until the records of the roles taken so far are read, or a timeout.
 
-        A scheduler refuses more before that than limits demand.
+        Before that, a scheduler refuses more than the limits require.
         """
         if self._loading:
-            await asyncio.wait(self._loading, timeout=LOADED_S)
+            await asyncio.wait(self._loading, timeout=LOAD_TIMEOUT_S)
 
     async def save(self, *, only_due: bool = False) -> None:
         """Save the records of the services that this VM schedules.
 
         Args:
-            only_due: Leave out services of which little is unrecorded.
+            only_due: Skip services with little unrecorded usage.
         """
         role = self._coordination.role
         for service in list(role.desks()):
@@ -120,10 +122,10 @@
             if only_due and not self._is_due(service, desk):
                 continue
             uses = desk.account.uses()
-            # An empty record says nothing new after another empty one.
-            if not uses and not self._saved.get(service, False):
+            # An empty record need not be saved again.
+            if not uses and not self._saved_nonempty.get(service, False):
                 continue
-            self._saved[service] = bool(uses)
+            self._saved_nonempty[service] = bool(uses)
             desk.account.mark_recorded()
             self._overdue.add(service)
             try:
@@ -138,33 +140,33 @@
             return True
         return desk.account.unrecorded_share() >= UNRECORDED_SHARE
 
-    def _taken(self, service: str) -> None:
-        self._count_told(service)
-        if service in self._awaiting:
+    def _on_role_taken(self, service: str) -> None:
+        self._count_reported(service)
+        if service in self._scheduled_loads:
             return
-        self._awaiting.add(service)
+        self._scheduled_loads.add(service)
         task = asyncio.get_running_loop().create_task(self._load(service))
         self._loading.add(task)
         task.add_done_callback(self._loading.discard)
 
-    def _count_told(self, service: str) -> None:
-        """Judge by the word of the scheduler before until the record is read."""
+    def _count_reported(self, service: str) -> None:
+        """Count the previous scheduler's reports until the record is read."""
         desk = self._coordination.role.desk(service)
         guess_part = self._usage_exchange.guess_part(service)
         if desk is not None and guess_part < 1.0:
-            desk.account.take_uses(self._known(service, ()), guess_part=guess_part)
+            desk.account.take_uses(self._known_uses(service, ()), guess_part=guess_part)
 
-    def _known(self, service: str, recorded: Sequence[Use]) -> list[Use]:
-        """Return what others let pass, by the record, their word, and this VM."""
+    def _known_uses(self, service: str, recorded: Sequence[Use]) -> list[Use]:
+        """Return the usage known from the record, from reports and on this VM."""
         return [
             *self._usage_exchange.merge(recorded),
-            *self._passed_here_beside(service),
+            *self._uses_of_other_services(service),
         ]
 
-    def _left(self, service: str) -> None:
-        """Tell the others what passed here: the store may not have heard of it."""
+    def _on_role_left(self, service: str) -> None:
+        """Send the usage to the other VMs, as it may not be in the store."""
         account = self._coordination.role.desks()[service].account
-        self._unread.pop(service, None)
+        self._read_retry_ticks.pop(service, None)
         uses = account.uses()
         if uses:
             scheduler = self._coordination.schedulers().get(service, "")
@@ -176,26 +178,27 @@
                 guess_part=account.guess_part(),
             )
 
-    def read_again(self) -> None:
-        """Read the record again for roles that are judged by a guess without it."""
-        for service, ticks in list(self._unread.items()):
+    def retry_reads(self) -> None:
+        """Retry reading the record for services whose limits are guessed without it."""
+        for service, ticks in list(self._read_retry_ticks.items()):
             desk = self._coordination.role.desk(service)
             if desk is None or not desk.account.guess_part():
-                del self._unread[service]
+                del self._read_retry_ticks[service]
             elif ticks:
-                self._unread[service] = ticks - 1
+                self._read_retry_ticks[service] = ticks - 1
             else:
-                self._taken(service)
+                self._on_role_taken(service)
 
-    def _heard(self, service: str) -> None:
+    def _on_peer_released(self, service: str) -> None:
         if self._coordination.role.desk(service) is not None:
-            self._taken(service)
+            self._on_role_taken(service)
 
     async def _load(self, service: str) -> None:
         if self._load_delay_s:
             await asyncio.sleep(self._load_delay_s)
-        # What is told from now on may be missing in what is read.
-        self._awaiting.discard(service)
+        # A report received from here on may not be in the record that is read, so it
+        # must trigger another load.
+        self._scheduled_loads.discard(service)
         if self._coordination.role.desk(service) is None:
             return
         recorded: Sequence[Use] = ()
@@ -205,24 +208,24 @@
             is_read = True
         except PlatformError as error:
             log_event(events.LEDGER_FAILED, service=service, error=error)
-        uses = self._known(service, recorded)
+        uses = self._known_uses(service, recorded)
         if is_read:
             self._usage_exchange.cache_recorded(recorded)
-            self._unread.pop(service, None)
+            self._read_retry_ticks.pop(service, None)
         else:
-            self._unread[service] = READ_AGAIN_TICKS
+            self._read_retry_ticks[service] = READ_RETRY_TICKS
         desk = self._coordination.role.desk(service)
         if desk is None:
             return
-        # One word is not the record: others may have let pass what nobody has told.
+        # A report does not replace the record: other usage may not have been reported.
         guess_part = 0.0 if is_read else self._usage_exchange.guess_part(service)
         desk.account.take_uses(uses, guess_part=guess_part)
         tokens = sum(use.tokens for use in uses)
         log_event(events.LEDGER_LOADED, service=service, tokens=tokens)
         if not is_read:
-            self._tell_guess(service, desk)
+            self._log_guess(service, desk)
 
-    def _tell_guess(self, service: str, desk: Desk) -> None:
+    def _log_guess(self, service: str, desk: Desk) -> None:
         guessed = desk.account.guessed()
         if guessed:
             log_event(
@@ -232,13 +235,13 @@
                 organisations=len(guessed),
             )
 
-    def _passed_here_beside(self, service: str) -> list[Use]:
-        """Return what passed under this VM for other services."""
+    def _uses_of_other_services(self, service: str) -> list[Use]:
+        """Return the usage admitted by this VM's schedulers of other services."""
         return [
             replace(
-                use, service=name, scheduler=self._usage_exchange.own_source(name)[1]
+                use, service=other, scheduler=self._usage_exchange.own_source(other)[1]
             )
-            for name, desk in self._coordination.role.desks().items()
-            if name != service
+            for other, desk in self._coordination.role.desks().items()
+            if other != service
             for use in desk.account.uses()
         ]
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -209,7 +209,7 @@
         self._has_joined_scheduling = False
         self._is_started = False
         self._handover: asyncio.Task[None] | None = None
-        current.on_change(self._intake.adopt)
+        current.on_change(self._intake.use_configuration)
         current.on_change(lambda _: self._configure())
         directory.on_change(self._configure)
         directory.on_change(self._crashes.endpoints_changed)
--- a/tests/coordination/limited_world.py
+++ b/tests/coordination/limited_world.py
@@ -191,7 +191,7 @@
             if self.clock.now_ms() >= self.ledger_at_ms:
                 self.ledger_at_ms = self.clock.now_ms() + LEDGER_EACH_MS
                 for ledger in list(self.ledgers.values()):
-                    ledger.read_again()
+                    ledger.retry_reads()
                     await ledger.save(only_due=True)
 
     def most_in_a_span(self, organisation):
