--- a/src/pomelolane/forwarding/__init__.py
+++ b/src/pomelolane/forwarding/__init__.py
@@ -1,7 +1,7 @@
-"""Callers' requests, passed byte for byte to endpoints of routed services.
+"""Forwards callers' requests unchanged to the endpoints of routed services.
 
-Routes, keys and limits come as one configuration; slots come from the
-scheduler; names of headers come from a dialect.
+Routes, keys and limits come from one versioned configuration, endpoint slots are
+granted by the schedulers, and a dialect defines the platform's header names.
 """
 
 from pomelolane.forwarding.budget import RetryAllowance, SharedRetryBudget
--- a/src/pomelolane/forwarding/app.py
+++ b/src/pomelolane/forwarding/app.py
@@ -1,8 +1,8 @@
-"""The HTTP applications of a forwarding VM: callers', and the balancer's.
+"""ASGI applications of a forwarding VM: one for callers, one for health probes.
 
-Plain ASGI: nothing is routed by path here, or three paths are. To load blacksheep for
-it took 0.07 of the 0.35 s of processor time that a VM needs to load everything, while
-callers wait (-X importtime).
+They use no web framework, as they route at most three paths. Importing blacksheep took
+0.07 s of the 0.35 s of processor time that a VM needs to start (-X importtime), and
+callers wait for the start.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 class CallerApp:
-    """Hands every request to the forwarder.
+    """Passes every request to the forwarder.
 
     Args:
-        forwarder: Serves the exchanges.
+        forwarder: Forwards the requests.
     """
 
     def __init__(self, forwarder: Forwarder) -> None:
@@ -45,10 +45,10 @@
 
 
 class ProbeApp:
-    """Answers the balancer's and the operators' questions.
+    """Serves readiness, metrics and status to the load balancer and operators.
 
     Args:
-        is_ready: Whether callers should be sent here.
+        is_ready: Returns whether this VM accepts callers.
         report: Returns the status report, JSON-encodable.
     """
 
--- a/src/pomelolane/forwarding/configuration.py
+++ b/src/pomelolane/forwarding/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of forwarded services, which comes as a whole by version."""
+"""The versioned configuration of forwarded services."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 MAX_RANKS = 16
-"""Ranks of routes that can be told apart within one rank of organisations."""
+"""Number of distinct ranks of organisations, and of routes within each of them."""
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether a route's requests may be retried, and whether answers are streamed."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTarget:
-    """One service of a route.
+    """A service that a route sends requests to.
 
     Attributes:
-        service: Its name.
-        weight: Its part of the requests, against the others' weights.
+        service: Name of the service.
+        weight: Its share of the requests, relative to the route's other targets.
     """
 
     service: str
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and path prefix go.
+    """Services and rules for requests with a host and path prefix.
 
     Attributes:
         name: Unique name.
         host: Host without port, in lower case.
         prefix: Path prefix that begins and ends with a slash.
-        kind: What may be repeated.
-        targets: Services, one of which is drawn for each request.
-        timeout_ms: Longest time until the final answer, 0 for none.
+        kind: Whether requests may be retried, and whether answers are streamed.
+        targets: Services, one of which is drawn by weight for each request.
+        timeout_ms: Longest time until the end of the answer, 0 for no limit.
         objective_ms: Time within which an answer should begin, 0 for none.
         rank: 0 is the most urgent.
-        attempts: Most endpoints that one request may be sent to.
-        is_public: Whether no key is asked for.
-        is_resumable: Whether a broken stream may go on at another endpoint.
-        gap_ms: Longest pause between two events of an answer, 0 for any.
-        patience_ms: Silence after which callers leave, 0 for not before their time
-            is over.
+        attempts: Largest number of times that one request may be sent.
+        is_public: Whether requests need no key.
+        is_resumable: Whether a broken stream may be resumed at another endpoint.
+        gap_ms: Longest pause between two events of an answer, 0 for no limit.
+        patience_ms: Time without an answer after which callers disconnect, 0 if they
+            wait until their deadline.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request that may have run may be sent again."""
         if self.kind is RouteKind.IDEMPOTENT:
             return True
         return self.kind is RouteKind.STREAMING and self.is_resumable
@@ -86,9 +86,9 @@
     """Bounds on what a caller may send and how long it may take.
 
     Attributes:
-        max_head_bytes: Largest request line and headers.
-        max_body_bytes: Largest body.
-        head_timeout_ms: Longest time for a head.
+        max_head_bytes: Largest size of the request line and headers.
+        max_body_bytes: Largest size of a body.
+        head_timeout_ms: Longest time to receive a head.
         idle_timeout_ms: Longest time without a request on a connection.
     """
 
@@ -103,14 +103,14 @@
     """Everything that operators declare for forwarded services.
 
     Attributes:
-        version: Grows with each change.
+        version: Version number, which increases with each change.
         routes: All routes.
-        services: By name.
-        organisations: By name.
-        organisation_by_key: Organisation names by caller's key.
-        rank_by_organisation: Ranks that go before the routes'; among equal
-            ones the route's rank decides.
-        plain_tokens: Tokens that a request counts which does not say.
+        services: Services by name.
+        organisations: Organisations by name.
+        organisation_by_key: Names of organisations by caller's key.
+        rank_by_organisation: Ranks by name of organisation. They take precedence over
+            the ranks of routes.
+        plain_tokens: Tokens charged for a request that states no number.
         counted_by_request: Organisations whose limits count requests, not tokens.
         limits: Bounds on callers.
     """
@@ -126,25 +126,27 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def charge(self, organisation: str, tokens: int) -> int:
-        """Return what a request counts against its organisation's limit.
+        """Return the tokens that a request is charged to its organisation's limit.
 
         Args:
-            organisation: Who asks.
-            tokens: What the request says that it takes, 0 if it does not.
+            organisation: The caller's organisation.
+            tokens: Number of tokens that the request states, 0 if it states none.
         """
         if organisation in self.counted_by_request:
             return 1
         return tokens or self.plain_tokens
 
     def rank(self, organisation: str, route: Route) -> int:
-        """Return one rank from an organisation's and its route's.
+        """Combine the ranks of an organisation and a route into one rank.
 
-        A request without an organisation stands among the least urgent of them by its
-        route's rank. Behind all of them it would be starved by any overload.
+        A request without an organisation gets the rank of the least urgent one. With a
+        rank behind all organisations, it would starve under any overload.
         """
-        least = max(self.rank_by_organisation.values(), default=0)
-        first = min(self.rank_by_organisation.get(organisation, least), MAX_RANKS - 1)
-        return first * MAX_RANKS + min(route.rank, MAX_RANKS - 1)
+        default_rank = max(self.rank_by_organisation.values(), default=0)
+        organisation_rank = min(
+            self.rank_by_organisation.get(organisation, default_rank), MAX_RANKS - 1
+        )
+        return organisation_rank * MAX_RANKS + min(route.rank, MAX_RANKS - 1)
 
 
 class CurrentConfiguration:
@@ -162,11 +164,11 @@
 
     @property
     def version(self) -> int:
-        """Its version, 0 before the first."""
+        """Version of the configuration in force, 0 before the first one."""
         return self._value.version if self._value is not None else 0
 
     async def wait_until_known(self) -> None:
-        """Return as soon as a configuration is in force."""
+        """Wait until a configuration is in force."""
         await self._known.wait()
 
     def on_change(self, callback: Callable[[Configuration], None]) -> None:
@@ -174,7 +176,7 @@
         self._callbacks.append(callback)
 
     def adopt(self, configuration: Configuration) -> bool:
-        """Put a newer configuration in force; False for one that is not newer."""
+        """Put a configuration in force; return False if it is not newer."""
         if configuration.version <= self.version:
             return False
         self._value = configuration
--- a/src/pomelolane/forwarding/departures.py
+++ b/src/pomelolane/forwarding/departures.py
@@ -1,7 +1,8 @@
-"""Endpoints that have said in an answer that they leave.
+"""Marks endpoints as leaving that announced it in an answer.
 
-The registry may say so seconds later, or not at all while the store is away. One VM's
-word is enough for all: a new scheduler, too, learns it from the others' heartbeats.
+The registry may list them as leaving only seconds later, or not at all while the store
+is unreachable. A mark made by one VM holds for all; a new scheduler learns it from the
+others' heartbeats.
 """
 
 from __future__ import annotations
@@ -18,27 +19,27 @@
     from pomelolane.model import Endpoint
 
     class LeavingMarks(Protocol):
-        """Marks of what leaves, shared by all VMs."""
+        """Marks of leaving endpoint instances, shared by all VMs."""
 
         def mark_leaving(self, endpoint_id: str, source: str) -> None:
-            """Mark for all VMs."""
+            """Mark an endpoint instance as leaving on all VMs."""
 
         def clear_leaving(self, endpoint_id: str) -> None:
-            """Take back a mark made here."""
+            """Remove a mark made by this VM."""
 
         def on_leaving(self, callback: Callable[[str, str], None]) -> None:
-            """Call back once for each mark."""
+            """Call the callback once for each mark, with its source."""
 
 
 SOURCE = "answer"
 
 
 class AnnouncedDepartures:
-    """Takes endpoints out of use that leave by their own word.
+    """Takes endpoints out of use that announce that they are leaving.
 
     Args:
-        directory: Endpoints as known here.
-        marks: Tells the other VMs, and is told by them.
+        directory: Known endpoints.
+        marks: Marks shared with the other VMs.
     """
 
     def __init__(self, directory: EndpointDirectory, marks: LeavingMarks) -> None:
@@ -49,14 +50,14 @@
         directory.on_change(self._clear_ended)
 
     def announce(self, endpoint: Endpoint) -> None:
-        """Take an endpoint's word that it leaves."""
+        """Mark an endpoint as leaving on this VM and all others."""
         instance_id = instance_id_of(endpoint)
         if self._directory.mark_leaving(instance_id):
             self._announced.add(instance_id)
             self._marks.mark_leaving(instance_id, SOURCE)
 
     def _clear_ended(self) -> None:
-        """End the marks of starts that are no more."""
+        """Remove this VM's marks of endpoint instances that are not listed any more."""
         if not self._announced:
             return
         listed = {instance_id_of(endpoint) for endpoint in self._directory.listed()}
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -420,4 +420,4 @@
         call = state.call
         first_ms = self._clock.now_ms() - call.accepted_ms
         objective_ms = call.route.objective_ms
-        metrics.observe_first(call.service, call.rank, first_ms, objective_ms)
+        metrics.observe_first_byte(call.service, call.rank, first_ms, objective_ms)
--- a/src/pomelolane/forwarding/metrics.py
+++ b/src/pomelolane/forwarding/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the forwarding gateway."""
+"""Prometheus counters and latency histograms of the forwarding gateway."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 _BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 2.0, 5.0, 15.0)
 
-_ENDED = Counter(
+_ENDED_REQUESTS = Counter(
     "pomelolane_forwarded_total",
     "Forwarded requests that ended, by route, service, rank, outcome and reason.",
 )
-_FIRST = Histogram(
+_FIRST_BYTE_SECONDS = Histogram(
     "pomelolane_forwarded_first_byte_seconds",
     "Time from a request's head to the first byte of its answer.",
     buckets=_BUCKETS_S,
 )
-_BEGUN = Counter(
+_BEGUN_ANSWERS = Counter(
     "pomelolane_forwarded_begun_total",
     "Answers that began, by service, rank and whether within the objective.",
 )
-_HELD = Histogram(
+_WAIT_SECONDS = Histogram(
     "pomelolane_forwarded_wait_seconds",
     "Time that a request waited for a slot.",
     buckets=_BUCKETS_S,
@@ -40,7 +40,7 @@
     route: str, service: str, rank: int, outcome: str, reason: str = ""
 ) -> None:
     """Count the end of a request."""
-    _ENDED.inc(
+    _ENDED_REQUESTS.inc(
         {
             "route": route,
             "service": service,
@@ -58,17 +58,24 @@
 
 def observe_wait(service: str, wait_ms: float) -> None:
     """Observe how long a request waited for a slot."""
-    _HELD.observe({"service": service}, wait_ms / 1000)
+    _WAIT_SECONDS.observe({"service": service}, wait_ms / 1000)
 
 
-def observe_first(
+def observe_first_byte(
     service: str, rank: int, first_ms: float, objective_ms: float
 ) -> None:
-    """Observe when an answer began, and whether in time; 0 for no objective."""
-    _FIRST.observe({"service": service}, first_ms / 1000)
+    """Observe the time to an answer's first byte, and whether it met the objective.
+
+    Args:
+        service: Service of the request.
+        rank: Priority of the request.
+        first_ms: Time from the request's head to the first byte of its answer.
+        objective_ms: Time within which the answer should begin, 0 for none.
+    """
+    _FIRST_BYTE_SECONDS.observe({"service": service}, first_ms / 1000)
     in_time = not objective_ms or first_ms <= objective_ms
     labels = {"service": service, "rank": str(rank), "in_time": str(in_time).lower()}
-    _BEGUN.inc(labels)
+    _BEGUN_ANSWERS.inc(labels)
 
 
 def count_store_call(call: str, status: int, sent: int, received: int) -> None:
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -1,4 +1,4 @@
-"""One VM that forwards: listeners, member, scheduling, and its planned stop."""
+"""A forwarding VM: cluster membership, scheduling, listeners and planned shutdown."""
 
 from __future__ import annotations
 
@@ -45,19 +45,20 @@
 POLICY = "objective"
 HEAD_TIMEOUT_MS = 3_000
 CONNECT_TIMEOUT_MS = 400
-"""Data centres are a millisecond apart; what takes longer is full or gone."""
+"""Data centres are about a millisecond apart; an endpoint that takes longer to accept a
+connection is overloaded or gone."""
 
 MAX_IDLE_MS = 4_000
-"""Idle connections are closed by endpoints after about 5 s and more."""
+"""Endpoints close idle connections after about 5 s or more."""
 
-BALANCER_NOTICE_MS = 2_500
-"""Two missed questions, one a second, take a VM out of the balancer."""
+BALANCER_REMOVAL_MS = 2_500
+"""The load balancer probes once a second and removes a VM after two failed probes."""
 
-EXIT_RESERVE_MS = 700
-"""Part of the time allowed for a stop that is kept to leave in order."""
+LEAVE_RESERVE_MS = 700
+"""Part of the time allowed for a stop that is reserved for leaving the cluster."""
 
-LAST_RECORD_MS = 300
-"""Longest time for the last record of use; the store answers in milliseconds."""
+FINAL_SAVE_TIMEOUT_MS = 300
+"""Longest time for saving the last usage records; the store answers in milliseconds."""
 
 TIMINGS = Timings(
     reply_ms=150.0,
@@ -66,24 +67,25 @@
     settle_ms=200.0,
     settle_lower_ms=100.0,
 )
-"""Callers wait for tenths of a second: a silent scheduler is left sooner."""
+"""Shorter than the defaults: callers wait only tenths of a second, so a scheduler that
+does not answer is replaced sooner."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """What a forwarding VM is told of itself.
+    """Options of a forwarding VM.
 
     Attributes:
-        vm_id: Its id.
-        data_centre: Where it stands.
-        ip: Its address.
-        front: ``ip:port`` for callers.
-        probe: ``ip:port`` for the balancer and operators.
-        peer_port: Port for the other VMs.
+        vm_id: Id of the VM.
+        data_centre: Data centre of the VM.
+        ip: IP address of the VM.
+        front: ``ip:port`` of the listener for callers.
+        probe: ``ip:port`` of the listener for the load balancer and operators.
+        peer_port: Port for connections from other VMs.
         grace_ms: Time allowed for a planned stop.
-        retries: Repeated sends allowed over all VMs.
-        rollouts: What a version that is not proved may get.
-        carries_per_s: Requests a second that it can schedule.
+        retries: Retries allowed over all VMs.
+        rollouts: Bounds on the requests sent to a version that is being rolled out.
+        carries_per_s: Requests per second that the VM can schedule.
     """
 
     vm_id: str
@@ -99,20 +101,20 @@
 
 
 class ForwardingNode:
-    """A running VM.
+    """A running forwarding VM.
 
     Args:
-        options: What it is told of itself.
-        incarnation: Number of this start, higher than any before.
+        options: Options of the VM.
+        incarnation: Number of this start, higher than that of any earlier start.
         current: The configuration in force.
-        directory: The endpoints.
-        dialect: Names of headers.
-        vm_list: Where other VMs are found.
-        keys: Keys that the VMs prove to each other.
-        record: Where organisations' use is kept.
-        crash_record: Where reports of endpoints that crashed under requests are kept.
-        rollout_record: Where states of roll-outs are kept.
-        clock: Time.
+        directory: Known endpoints.
+        dialect: Reads and writes the platform's headers.
+        vm_list: Lists the other VMs.
+        keys: Keys with which the VMs authenticate to each other.
+        record: Storage of organisations' usage records.
+        crash_record: Storage of reports of requests that crashed endpoints.
+        rollout_record: Storage of the states of roll-outs.
+        clock: Source of the current time.
     """
 
     def __init__(
@@ -208,7 +210,7 @@
         self.member.on_tick(self.forwarder.timeouts.look)
         self._has_joined_scheduling = False
         self._is_started = False
-        self._handover: asyncio.Task[None] | None = None
+        self._handover_task: asyncio.Task[None] | None = None
         current.on_change(self._intake.use_configuration)
         current.on_change(lambda _: self._configure())
         directory.on_change(self._configure)
@@ -221,21 +223,21 @@
         return serves and not self.forwarder.draining
 
     async def start(self) -> None:
-        """Begin to meet the others."""
+        """Connect to the other VMs."""
         await self.member.start()
         await self.coordination.start()
 
     def join_scheduling(self) -> None:
-        """Take part in scheduling.
+        """Take part in scheduling, after this VM has found the other VMs.
 
-        Only after the others were met: a VM that is alone in its view takes all roles,
-        and lets pass of limits what each of a fleet that starts together lets pass.
+        A VM that sees no others takes all scheduler roles. If the VMs of a fleet that
+        starts did so, each would admit requests up to the limits.
         """
         self._has_joined_scheduling = True
         self._configure()
 
     def accept_callers(self) -> None:
-        """Say that callers may come."""
+        """Accept callers' requests, and announce that this VM is ready."""
         self._is_started = True
         self._intake.open()
         self.member.set_ready()
@@ -246,7 +248,7 @@
         )
 
     def report(self) -> object:
-        """Return what operators may want to see."""
+        """Return the status report for operators."""
         return {
             "vm": self._options.vm_id,
             "data_centre": self._options.data_centre,
@@ -261,10 +263,10 @@
         }
 
     async def drain(self) -> None:
-        """Hand over the roles while the balancer takes notice.
+        """Hand over the roles until the load balancer sends no more callers.
 
-        Requests that come meanwhile are served, since callers still trust this
-        VM; each answer ends its connection.
+        Requests that arrive meanwhile are served, and their connections are closed
+        after the answer.
         """
         self.forwarder.draining = True
         self.member.set_draining()
@@ -273,22 +275,23 @@
             vm=self._options.vm_id,
             open_requests=len(self.forwarder.open_calls),
         )
-        self._handover = asyncio.create_task(self._hand_over())
-        await asyncio.sleep(BALANCER_NOTICE_MS / 1000)
+        self._handover_task = asyncio.create_task(self._hand_over())
+        await asyncio.sleep(BALANCER_REMOVAL_MS / 1000)
 
     async def _hand_over(self) -> None:
-        """Record the use of limits for the next schedulers, and give up the roles.
+        """Save the usage records for the next schedulers, and give up the roles.
 
-        A store that does not answer must not use up the time for the stop.
+        Saving has a timeout, so that a store that does not answer cannot use up the
+        time allowed for the stop.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_RECORD_MS / 1000):
+            async with asyncio.timeout(FINAL_SAVE_TIMEOUT_MS / 1000):
                 await self.ledger.save()
         await self.coordination.handover()
 
     async def finish(self, listener: Listener) -> None:
-        """Finish what was accepted, in the time allowed."""
-        remaining_ms = self._options.grace_ms - BALANCER_NOTICE_MS - EXIT_RESERVE_MS
+        """Finish the accepted requests within the time allowed."""
+        remaining_ms = self._options.grace_ms - BALANCER_REMOVAL_MS - LEAVE_RESERVE_MS
         self.forwarder.set_stop_time(self._clock.now_ms() + remaining_ms)
         try:
             async with asyncio.timeout(remaining_ms / 1000):
@@ -302,9 +305,9 @@
             )
 
     async def stop(self) -> None:
-        """Leave the others and close all connections."""
-        if self._handover is not None:
-            self._handover.cancel()
+        """Leave the cluster and close all connections."""
+        if self._handover_task is not None:
+            self._handover_task.cancel()
         await self.coordination.stop()
         await self.member.stop()
         self._pool.close()
@@ -329,12 +332,12 @@
 async def listen_for_callers(
     node: ForwardingNode, address: str, sock: socket.socket | None = None
 ) -> Listener:
-    """Start the callers' listener.
+    """Start the listener for callers.
 
     Args:
-        node: Serves them.
-        address: Where, as ``ip:port``.
-        sock: A socket that listens there already, if there is one.
+        node: VM that serves the callers.
+        address: Address to listen on, as ``ip:port``.
+        sock: Socket that already listens on it, None to open one.
     """
     return await _listen(CallerApp(node.forwarder), address, sock)
 
@@ -342,7 +345,7 @@
 async def listen_for_probes(
     is_ready: Callable[[], bool], report: Callable[[], object], address: str
 ) -> Listener:
-    """Start the listener for the balancer and operators."""
+    """Start the listener for the load balancer and operators."""
     return await _listen(ProbeApp(is_ready, report), address)
 
 
--- a/src/pomelolane/forwarding/notices.py
+++ b/src/pomelolane/forwarding/notices.py
@@ -1,4 +1,4 @@
-"""Takes in what endpoints say of themselves in their answers."""
+"""Handles notices that endpoints give about themselves in the headers of answers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class NoticeHandler:
-    """Passes notices on to those who act on them.
+    """Applies notices of limits, pauses and departures.
 
     Args:
-        directory: Endpoints as known here.
-        departures: Takes endpoints out of use that leave.
-        client: Uses no grants for endpoints that rest.
+        directory: Known endpoints.
+        departures: Takes leaving endpoints out of use on all VMs.
+        client: Holds back grants for endpoints that asked for a pause.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
     def handle(
         self, endpoint: Endpoint, notice: EndpointNotice, watch: StreamWatch
     ) -> None:
-        """Take the notice of one answer.
+        """Handle the notice in one answer.
 
         Args:
-            endpoint: Who gave it.
-            notice: What it says.
-            watch: Reports on the request to its scheduler.
+            endpoint: Endpoint that gave the answer.
+            notice: Content of the notice.
+            watch: Reports the request's progress to its scheduler.
         """
         watch.noticed(notice.limit_per_s)
         if notice.rest_ms > 0:
--- a/src/pomelolane/forwarding/request_log.py
+++ b/src/pomelolane/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines and counters of a forwarded request's life, one function for each step."""
+"""Log events and counters of forwarded requests, one function per event."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def accepted(call: ForwardCall) -> None:
-    """Tell that a request has passed the checks, and by what it was judged."""
+    """Log a request that has passed the checks, with the values it was checked by."""
     log_event(
         events.FORWARD_ACCEPTED,
         request=call.log_id,
@@ -41,7 +41,7 @@
 def sent(
     state: CallState, grant: Grant, remaining_ms: int, now_ms: float, list_age_ms: float
 ) -> None:
-    """Tell that a request leaves for an endpoint."""
+    """Log that a request is sent to an endpoint."""
     log_event(
         events.FORWARD_SENT,
         request=state.call.log_id,
@@ -63,7 +63,7 @@
     result: RelayResult,
     now_ms: float,
 ) -> None:
-    """Tell that a whole answer went to the caller."""
+    """Log and count a complete answer to the caller."""
     metrics.count_send(call.service, "answered")
     log_event(
         events.FORWARD_FINISHED,
@@ -79,7 +79,7 @@
 
 
 def failed(state: CallState, reason: Reason, detail: str) -> None:
-    """Tell that one send ended without a whole answer."""
+    """Log and count a send that ended without a complete answer."""
     metrics.count_send(state.call.service, reason.value)
     log_event(
         events.FORWARD_FAILED,
@@ -94,7 +94,7 @@
 
 
 def retried(state: CallState, refusal: Refusal, balance: float) -> None:
-    """Tell that a request is offered to another endpoint."""
+    """Log that a request is retried at another endpoint."""
     log_event(
         events.FORWARD_RETRIED,
         request=state.call.log_id,
@@ -105,7 +105,7 @@
 
 
 def refused(state: CallState, refusal: Refusal, status: int, held_ms: float) -> None:
-    """Tell that the caller got the gateway's own final answer, or a break."""
+    """Log and count a request that the gateway refused, or whose answer it aborted."""
     call = state.call
     _count_end(call, refusal.outcome.value, refusal.reason.value)
     log_event(
@@ -125,7 +125,7 @@
 
 
 def abandoned(state: CallState, now_ms: float) -> None:
-    """Tell that the caller has left, and its run is cancelled."""
+    """Log and count a request that was cancelled as its caller disconnected."""
     call = state.call
     _count_end(call, Outcome.UNKNOWN.value, Reason.CALLER_GONE.value)
     log_event(
--- a/src/pomelolane/forwarding/routes.py
+++ b/src/pomelolane/forwarding/routes.py
@@ -1,4 +1,4 @@
-"""Finds a request's route, and the service it goes to."""
+"""Matches requests to routes, and draws one of a route's services."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RouteTable:
-    """Routes by host; among a host's routes the longest prefix counts.
+    """Finds routes by host and longest matching path prefix.
 
     Args:
         routes: All routes.
@@ -27,8 +27,8 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host and path, None where there is none."""
-        by_prefix = self._by_host.get(_bare_host(host))
+        """Return the route for a host and path, or None."""
+        by_prefix = self._by_host.get(_host_without_port(host))
         if by_prefix is None:
             return None
         end = path.rfind("/")
@@ -41,7 +41,7 @@
 
 
 def service_from_route(route: Route, request_id: str) -> str:
-    """Draw a service by weight; the same request id draws the same one."""
+    """Draw a service by weight; the same request id always draws the same service."""
     targets = route.targets
     if len(targets) == 1:
         return targets[0].service
@@ -54,6 +54,6 @@
     return targets[-1].service
 
 
-def _bare_host(host: str) -> str:
+def _host_without_port(host: str) -> str:
     name, _, port = host.rpartition(":")
     return (name if name and port.isdigit() else host).lower()
--- a/src/pomelolane/forwarding/tree.py
+++ b/src/pomelolane/forwarding/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree that schedulers see of a configuration and its endpoints."""
+"""Builds the schedulers' settings tree from a configuration and the endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def tree_from_configuration(
     configuration: Configuration, endpoints: Mapping[str, Endpoint]
 ) -> Tree:
-    """Return the tree of a configuration and the endpoints known to serve it."""
+    """Return the settings tree of a configuration and the endpoints that serve it."""
     organisations = [*configuration.organisations, ""]
     ranks = {
         configuration.rank(organisation, route)
