--- a/tests/forwarding/departures.feature
+++ b/tests/forwarding/departures.feature
@@ -1,44 +1,44 @@
-Feature: Endpoints that say in an answer that they leave
-  Their word counts at once and for all VMs, whatever the registry lists.
+Feature: Endpoints that announce in an answer that they are leaving
+  The announcement takes effect at once and on all VMs, whatever the registry lists.
 
   Background:
     Given two VMs that know the endpoint "e1", started at 1000
 
-  Scenario: The word of one VM is enough for both
-    When the first VM hears that "e1" leaves
-    Then "e1" gets nothing from the first VM
-    And "e1" gets nothing from the second VM
-    And the second VM was told once
+  Scenario: An announcement to one VM takes effect on both
+    When "e1" announces to the first VM that it is leaving
+    Then the first VM sends no requests to "e1"
+    And the second VM sends no requests to "e1"
+    And the VMs were notified once
 
-  Scenario: The registry's next list changes nothing
-    When the first VM hears that "e1" leaves
+  Scenario: A later list from the registry does not undo the announcement
+    When "e1" announces to the first VM that it is leaving
     And the registry lists "e1", started at 1000
-    Then "e1" gets nothing from the first VM
+    Then the first VM sends no requests to "e1"
 
-  Scenario: The word outlasts a gap in the registry
-    When the first VM hears that "e1" leaves
+  Scenario: The announcement outlasts a gap in the registry
+    When "e1" announces to the first VM that it is leaving
     And the registry lists nothing
     And the registry lists "e1", started at 1000
-    Then "e1" gets nothing from the first VM
+    Then the first VM sends no requests to "e1"
 
-  Scenario: A new start is not bound by the word of the one before
-    When the first VM hears that "e1" leaves
+  Scenario: The announcement does not apply to the endpoint's next start
+    When "e1" announces to the first VM that it is leaving
     And the registry lists "e1", started at 2000
-    Then "e1" gets requests from the first VM
-    And "e1" gets requests from the second VM
-    And no VM repeats the word
+    Then the first VM sends requests to "e1"
+    And the second VM sends requests to "e1"
+    And no VM keeps a mark of its own
 
-  Scenario: A word that comes late from another VM does not bind a new start
+  Scenario: A late notification from another VM does not apply to the next start
     When the registry lists "e1", started at 2000
-    And the second VM is told that "e1", started at 1000, leaves
-    Then "e1" gets requests from the second VM
+    And the second VM is notified that "e1", started at 1000, is leaving
+    Then the second VM sends requests to "e1"
 
-  Scenario Outline: What the header may say
-    Then an answer with "Server-Leaving: <value>" says <word>
+  Scenario Outline: Values of the header
+    Then an answer with "Server-Leaving: <value>" is read as <result>
 
     Examples:
-      | value | word                 |
-      | 1     | that it leaves       |
-      | 0     | nothing              |
-      | yes   | what can't be read   |
-      | 1, 1  | what can't be read   |
+      | value | result  |
+      | 1     | leaving |
+      | 0     | staying |
+      | yes   | invalid |
+      | 1, 1  | invalid |
--- a/tests/forwarding/stopping.feature
+++ b/tests/forwarding/stopping.feature
@@ -1,11 +1,12 @@
-Feature: What a stopping VM still takes
-  Only what surely ends in time, whatever its length is said to be.
+Feature: Requests accepted by a stopping VM
+  It accepts only requests whose time limit ends before the VM stops, however short they
+  are expected to be.
 
-  Scenario Outline: A request is taken if its whole time fits
+  Scenario Outline: A request is accepted if its time limit ends before the stop
     Given a forwarder that stops in 4800 ms
-    Then a request of <limit_ms> ms is <taken>
+    Then a request with a time limit of <limit_ms> ms is <result>
 
     Examples:
-      | limit_ms | taken   |
-      | 1200     | taken   |
-      | 12000    | refused |
+      | limit_ms | result   |
+      | 1200     | accepted |
+      | 12000    | refused  |
--- a/tests/steps/forwarding_departures_steps.py
+++ b/tests/steps/forwarding_departures_steps.py
@@ -8,28 +8,28 @@
 from pomelolane.model import Endpoint
 from pomelolane.platform.dialect import PlatformDialect
 
-WORDS = {
-    "that it leaves": (True, ()),
-    "nothing": (False, ()),
+NOTICES = {
+    "leaving": (True, ()),
+    "staying": (False, ()),
 }
 
 
 class SharedMarks:
-    """Marks that reach all VMs at once."""
+    """Leaving marks that reach all VMs at once."""
 
     def __init__(self):
         self.own = set()
-        self.told = []
+        self.notified = []
         self._callbacks = []
 
-    def mark_leaving(self, start, source):
-        self.own.add(start)
-        self.told.append(start)
+    def mark_leaving(self, instance_id, source):
+        self.own.add(instance_id)
+        self.notified.append(instance_id)
         for callback in self._callbacks:
-            callback(start, source)
+            callback(instance_id, source)
 
-    def clear_leaving(self, start):
-        self.own.discard(start)
+    def clear_leaving(self, instance_id):
+        self.own.discard(instance_id)
 
     def on_leaving(self, callback):
         self._callbacks.append(callback)
@@ -55,16 +55,16 @@
         directory.replace(dict(endpoints), 1)
 
 
-@when('the {vm} VM hears that "{name}" leaves')
-def step_hears(context, vm, name):
+@when('"{name}" announces to the {vm} VM that it is leaving')
+def step_announces(context, vm, name):
     directory, departures = context.vms[vm]
     endpoint = directory.all[name]
     departures.announce(endpoint)
     departures.announce(endpoint)
 
 
-@when('the {vm} VM is told that "{name}", started at {born_ms:d}, leaves')
-def step_told(context, vm, name, born_ms):
+@when('the {vm} VM is notified that "{name}", started at {born_ms:d}, is leaving')
+def step_notified(context, vm, name, born_ms):
     del vm
     context.marks.mark_leaving(instance_id_of(_endpoint(name, born_ms)), "another")
 
@@ -79,30 +79,30 @@
     _list(context, {name: _endpoint(name, born_ms)})
 
 
-@then('"{name}" gets nothing from the {vm} VM')
+@then('the {vm} VM sends no requests to "{name}"')
 def step_unusable(context, name, vm):
     assert context.vms[vm][0].usable(name) is None
 
 
-@then('"{name}" gets requests from the {vm} VM')
+@then('the {vm} VM sends requests to "{name}"')
 def step_usable(context, name, vm):
     assert context.vms[vm][0].usable(name) is not None
 
 
-@then("the second VM was told once")
+@then("the VMs were notified once")
 def step_once(context):
-    assert len(context.marks.told) == 1, context.marks.told
+    assert len(context.marks.notified) == 1, context.marks.notified
 
 
-@then("no VM repeats the word")
-def step_no_repeat(context):
+@then("no VM keeps a mark of its own")
+def step_no_own_mark(context):
     assert not context.marks.own
 
 
-@then('an answer with "Server-Leaving: {value}" says {word}')
-def step_says(context, value, word):
+@then('an answer with "Server-Leaving: {value}" is read as {result}')
+def step_read_as(context, value, result):
     del context
     header = (b"server-leaving", value.encode())
     notice = PlatformDialect().read_notice(200, [header])
-    unread = (False, (("server-leaving", value),))
-    assert (notice.is_leaving, notice.rejected) == WORDS.get(word, unread)
+    invalid = (False, (("server-leaving", value),))
+    assert (notice.is_leaving, notice.rejected) == NOTICES.get(result, invalid)
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -17,7 +17,7 @@
 
 
 class FakeDesk:
-    """A desk of which a share is unrecorded until it is marked."""
+    """A desk with a share of unrecorded usage until it is marked as recorded."""
 
     def __init__(self, share):
         self.share = share
@@ -44,7 +44,7 @@
 
 
 class FakeRecord:
-    """Keeps what is saved, after some failures."""
+    """A usage store whose next calls fail as often as `failures` says."""
 
     def __init__(self):
         self.failures = 0
@@ -66,7 +66,7 @@
 
 
 class FakeNetwork:
-    """Membership and transport of "vm-0" among three."""
+    """Membership and transport of "vm-0" in a cluster of three VMs."""
 
     def __init__(self):
         self.sent = []
@@ -82,7 +82,7 @@
         return True
 
 
-@given("a scheduler that let {share:f} of an allowance pass since its last record")
+@given("a scheduler that admitted {share:f} of an allowance since its last record")
 def step_scheduler(context, share):
     desk = context.desk = FakeDesk(share)
     context.role = SimpleNamespace(
@@ -118,25 +118,25 @@
     context.record.failures = 1
 
 
-@when("it leaves the role")
+@when("it gives up the role")
 def step_leaves(context):
     context.role.on_left(SERVICE)
 
 
-@when('"{sender}" tells that {tokens:d} tokens passed there')
-@when('"{sender}" tells that {tokens:d} tokens passed there {age_ms:d} ms ago')
-def step_tells(context, sender, tokens, age_ms=0):
-    async def hear():
+@when('"{sender}" reports {tokens:d} tokens')
+@when('"{sender}" reports {tokens:d} tokens of {age_ms:d} ms ago')
+def step_reports(context, sender, tokens, age_ms=0):
+    async def receive():
         uses = (ToldUse("o", age_ms, tokens),)
         message = UsesTold(SERVICE, uses, account="vm-1/1", leaves=True)
         context.network.handler(sender, message)
         await asyncio.gather(*context.ledger._loading)
 
-    context.run(hear())
+    context.run(receive())
 
 
-@then("the others are told of its {tokens:d} tokens")
-def step_told(context, tokens):
+@then("its {tokens:d} tokens are reported to the other VMs")
+def step_reported(context, tokens):
     assert {vm_id for vm_id, _ in context.network.sent} == {"vm-1", "vm-2"}
     for _, message in context.network.sent:
         assert sum(use.tokens for use in message.uses) == tokens
@@ -152,32 +152,32 @@
     context.record.failures = 1
 
 
-@when("the record's turn comes, {turn}")
-def step_turn(context, turn):
-    context.run(context.ledger.save(only_due=turn == "as one of many"))
+@when("records are saved, {condition}")
+def step_save(context, condition):
+    context.run(context.ledger.save(only_due=condition == "only those due"))
 
 
-@then("it is recorded")
+@then("its usage is recorded")
 def step_recorded(context):
     assert [service for service, _ in context.record.saved] == [SERVICE]
 
 
-@then("it is not recorded")
+@then("its usage is not recorded")
 def step_not_recorded(context):
     assert context.record.saved == []
 
 
-@given("it let nothing pass")
+@given("it admitted nothing before")
 def step_nothing(context):
     context.desk.uses = list
 
 
-@then("nobody is told")
-def step_nobody_told(context):
+@then("nothing is reported to the other VMs")
+def step_nothing_reported(context):
     assert context.network.sent == []
 
 
-@given("a new scheduler that leaves its role within the time until it reads")
+@given("a new scheduler that gives up its role before it reads the record")
 def step_leaves_early(context):
     step_scheduler(context, 0.0)
     context.ledger._load_delay_s = 0.02
--- a/tests/steps/forwarding_rank_steps.py
+++ b/tests/steps/forwarding_rank_steps.py
@@ -1,4 +1,4 @@
-"""Steps of ranks: organisations before routes, and requests of nobody."""
+"""Steps of tests/forwarding/ranks.feature."""
 
 from behave import given, then
 
@@ -9,7 +9,7 @@
     RouteTarget,
 )
 
-NOBODY = ""
+NO_ORGANISATION = ""
 
 
 def _route(rank):
@@ -33,11 +33,11 @@
 
 
 @then(
-    "a request of nobody on a route of rank {rank:d}"
-    ' has the rank of "{organisation}" on it'
+    "a request without an organisation on a route of rank {rank:d}"
+    ' has the rank of "{organisation}"'
 )
 def step_same_rank(context, rank, organisation):
-    context.rank = _rank(context, NOBODY, rank)
+    context.rank = _rank(context, NO_ORGANISATION, rank)
     assert context.rank == _rank(context, organisation, rank), context.rank
 
 
@@ -52,8 +52,10 @@
 
 
 @then(
-    "a request of nobody on a route of rank {first:d}"
+    "a request on a route of rank {first:d}"
     " goes before one on a route of rank {second:d}"
 )
 def step_route_decides(context, first, second):
-    assert _rank(context, NOBODY, first) < _rank(context, NOBODY, second)
+    assert _rank(context, NO_ORGANISATION, first) < _rank(
+        context, NO_ORGANISATION, second
+    )
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -1,4 +1,4 @@
-"""Steps of routes and of the budget of repeated sends."""
+"""Steps of retry budgets, routes, slot requests and stopping forwarders."""
 
 import math
 
@@ -23,7 +23,9 @@
 STEP_MS = 100
 
 
-@given("{count:d} VMs with retries of {ratio:f} and a slack of {slack:d} in {s:d} s")
+@given(
+    "{count:d} VMs with a retry ratio of {ratio:f} and a slack of {slack:d} in {s:d} s"
+)
 def step_vms(context, count, ratio, slack, s):
     context.clock = ManualClock()
     allowance = RetryAllowance(ratio, slack, s * 1000)
@@ -41,7 +43,7 @@
     context.clock.advance(s * 1000)
 
 
-@when("every VM spends what it has and sends {count:d} requests")
+@when("every VM spends its budget and sends {count:d} requests")
 def step_earn(context, count):
     _spend_all(context)
     for budget in context.budgets:
@@ -49,12 +51,12 @@
             budget.earn()
 
 
-@then("all VMs together may repeat {count:d} times now")
+@then("all VMs together may retry {count:d} times now")
 def step_may(context, count):
     assert _spend_all(context) == count
 
 
-@then("all VMs together repeat {least:d} to {most:d} times in the next {s:d} s")
+@then("all VMs together retry {least:d} to {most:d} times in the next {s:d} s")
 def step_window(context, least, most, s):
     spent = 0
     for _ in range(s * 1000 // STEP_MS):
@@ -76,12 +78,12 @@
     context.routes = RouteTable(_route(**row) for row in rows)
 
 
-@then('"{host}" and "{path}" lead to "{name}"')
+@then('host "{host}" and path "{path}" match route "{name}"')
 def step_lead(context, host, path, name):
     assert context.routes.find(host, path).name == name
 
 
-@then('"{host}" and "{path}" lead nowhere')
+@then('host "{host}" and path "{path}" match no route')
 def step_nowhere(context, host, path):
     assert context.routes.find(host, path) is None
 
@@ -143,7 +145,7 @@
     assert context.handle.attempt == attempt
 
 
-@then("under an id of its own")
+@then("with a new request id")
 def step_own_id(context):
     assert context.handle.request_id != context.before.request_id
 
@@ -183,6 +185,6 @@
     context.forwarder.set_stop_time(clock.now_ms() + ms)
 
 
-@then("a request of {ms:d} ms is {taken}")
-def step_taken(context, ms, taken):
-    assert context.forwarder.can_accept(ms) is (taken == "taken")
+@then("a request with a time limit of {ms:d} ms is {result}")
+def step_accepted(context, ms, result):
+    assert context.forwarder.can_accept(ms) is (result == "accepted")
