--- a/src/pomelolane/forwarding/budget.py
+++ b/src/pomelolane/forwarding/budget.py
@@ -19,8 +19,8 @@
 """Part of the allowed ratio that is used; the rest covers uneven load over windows."""
 
 _SLACK_SHARE = 0.45
-"""Part of the slack that may be saved up, and that is added within a window; both
-together must stay below the whole slack."""
+"""Part of the slack that is the capacity of the bucket, and that is added per window.
+A window allows twice this part at most, which must stay below the whole slack."""
 
 _INITIAL_RETRIES = 1.0
 
--- a/src/pomelolane/forwarding/call.py
+++ b/src/pomelolane/forwarding/call.py
@@ -68,7 +68,7 @@
     Attributes:
         call: The request.
         sends: Number of times it was sent to an endpoint.
-        tries: Number of grants obtained.
+        grants: Number of grants obtained.
         may_have_run: Whether an endpoint may have begun to run it.
         answer_begun: Whether the head of an answer was sent to the caller.
         excluded: Endpoints that it must not be sent to again.
@@ -79,7 +79,7 @@
 
     call: ForwardCall
     sends: int = 0
-    tries: int = 0
+    grants: int = 0
     may_have_run: bool = False
     answer_begun: bool = False
     excluded: tuple[str, ...] = ()
--- a/src/pomelolane/forwarding/configuration.py
+++ b/src/pomelolane/forwarding/configuration.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Services and rules for requests with a host and path prefix.
+    """A rule that forwards requests with a given host and path prefix to services.
 
     Attributes:
         name: Unique name.
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -137,7 +137,7 @@
         self.draining = False
         self._stop_at_ms = math.inf
         self._accepts_short_requests = True
-        self._ended = asyncio.Event()
+        self._request_ended = asyncio.Event()
 
     def set_stop_time(self, at_ms: float) -> None:
         """Accept only requests that can be finished before this time."""
@@ -157,8 +157,8 @@
             await self._wait_for_next_end()
 
     async def _wait_for_next_end(self) -> None:
-        self._ended.clear()
-        await self._ended.wait()
+        self._request_ended.clear()
+        await self._request_ended.wait()
 
     def can_accept(self, limit_ms: float) -> bool:
         """Return whether a request with this time limit ends before the stop time."""
@@ -190,7 +190,7 @@
             request_log.abandoned(state, self._clock.now_ms())
         finally:
             del self.open_calls[call.local_id]
-            self._ended.set()
+            self._request_ended.set()
 
     async def _reject(self, exchange: Exchange, error: BadRequestError) -> None:
         refusal = refusal_from_error(error)
@@ -208,7 +208,7 @@
         self._budget(call.service).earn()
         try:
             async with self.timeouts.after(self._remaining_ms(call)):
-                refusal = await self._run(state, relay)
+                refusal = await self._try_endpoints(state, relay)
         except TimeoutError:
             refusal = timed_out(state)
         if refusal is None:
@@ -216,13 +216,13 @@
             return
         await self._refuse(state, exchange, refusal)
 
-    async def _run(self, state: CallState, relay: Relay) -> Refusal | None:
+    async def _try_endpoints(self, state: CallState, relay: Relay) -> Refusal | None:
         """Try endpoints until one answers; return the refusal if none does."""
         while True:
-            grant = await self._acquire(state)
+            grant = await self._acquire_grant(state)
             if isinstance(grant, Refusal):
                 return refusal_after_sends(state, grant)
-            state.tries += 1
+            state.grants += 1
             watch = StreamWatch(self._client, grant, self._clock)
             try:
                 await self._attempt(state, relay, grant, watch)
@@ -238,7 +238,7 @@
                     state.run.leave()
             return None
 
-    async def _acquire(self, state: CallState) -> Grant | Refusal:
+    async def _acquire_grant(self, state: CallState) -> Grant | Refusal:
         asked_ms = self._clock.now_ms()
         handle = handle_from_state(state, self._data_centre, asked_ms)
         grant = await self._gate.acquire(state.call.fingerprint, handle)
@@ -332,12 +332,12 @@
             if not stream.is_broken_unread:
                 watch.first()
                 self._observe_first_byte(state)
-            end = await relay.relay(stream, watch.progress, stall)
+            result = await relay.relay(stream, watch.progress, stall)
         finally:
             if stall is not None:
                 stall.stop()
             await stream.aclose()
-        if not end.is_complete:
+        if not result.is_complete:
             retry = incomplete_answer(state, watch, stream, stall)
             if not retry.is_charged:
                 await self._crashes.look(
@@ -354,7 +354,7 @@
             endpoint,
             stream.status,
             watch.ttft_ms,
-            end,
+            result,
             self._clock.now_ms(),
         )
 
@@ -377,7 +377,7 @@
     def _can_retry(self, state: CallState) -> bool:
         """Return whether the request may be sent again, regardless of the budget."""
         call = state.call
-        if state.tries >= MAX_GRANTS or state.sends >= call.route.attempts:
+        if state.grants >= MAX_GRANTS or state.sends >= call.route.attempts:
             return False
         if state.may_have_run and not call.route.is_repeatable:
             return False
--- a/src/pomelolane/forwarding/handles.py
+++ b/src/pomelolane/forwarding/handles.py
@@ -36,7 +36,7 @@
         objective_ms = patience_ms = 0
         late_window_ms = max(0, remaining_ms - RESUME_MS)
     return Handle(
-        request_id=f"{call.local_id}.{state.tries}",
+        request_id=f"{call.local_id}.{state.grants}",
         service=call.service,
         work=call.route.name,
         tier_rank=call.rank,
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -122,7 +122,7 @@
             if only_due and not self._is_due(service, desk):
                 continue
             uses = desk.account.uses()
-            # An empty record need not be saved again.
+            # Skip an empty record that follows an empty one.
             if not uses and not self._saved_nonempty.get(service, False):
                 continue
             self._saved_nonempty[service] = bool(uses)
--- a/src/pomelolane/forwarding/usage_exchange.py
+++ b/src/pomelolane/forwarding/usage_exchange.py
@@ -94,7 +94,8 @@
             service: Service of the role.
             uses: Usage admitted by this scheduler.
             next_vms: VMs that may take over the role.
-            guess_part: Part of the limits that this scheduler counted by a guess.
+            guess_part: Part of the limits that this scheduler assumes as used, because
+                it could not read the record.
         """
         next_vms = set(next_vms)
         self._drop_expired(self._clock.now_ms())
@@ -135,8 +136,8 @@
             uses: The usage.
             adds: Whether it adds to the earlier reports, or replaces them.
             account: Account of the usage, by default that of this incarnation.
-            guess_part: Part of the limits that the scheduler counts by a guess; None
-                for a gateway without a scheduler.
+            guess_part: Part of the limits that the scheduler assumes as used, because
+                it could not read the record; None for a gateway without a scheduler.
         """
         account = account or account_name(self._vm_id, self._incarnation)
         message = UsesTold(
@@ -149,7 +150,7 @@
         receivers = tuple(vm_ids)
         now_ms = self._clock.now_ms()
         for (service, account), timed_uses in self._usage_by_source.items():
-            uses = _aged(timed_uses, now_ms)
+            uses = _with_current_age(timed_uses, now_ms)
             message = UsesTold(
                 service, _encode_uses(uses), account=account, is_passed_on=True
             )
@@ -174,12 +175,14 @@
         own = account_name(self._vm_id, self._incarnation)
         if account == own or account.startswith(f"{own}/"):
             return
-        known_ms = _youngest_ms(_aged(self._usage_by_source.get(source, ()), now_ms))
-        if _youngest_ms(_aged(timed_uses, now_ms)) < known_ms:
+        known_ms = _min_age_ms(
+            _with_current_age(self._usage_by_source.get(source, ()), now_ms)
+        )
+        if _min_age_ms(_with_current_age(timed_uses, now_ms)) < known_ms:
             self._usage_by_source[source] = timed_uses
 
     def guess_part(self, service: str) -> float:
-        """Return the part of the limits that the previous scheduler guessed.
+        """Return the part of the limits that the previous scheduler assumed as used.
 
         The rest is known from its reports. Returns 1 without a recent report.
         """
@@ -202,16 +205,16 @@
         return has_read
 
     def merge(self, recorded: Sequence[Use]) -> list[Use]:
-        """Merge recorded usage with direct reports; the newer of each source counts."""
+        """Merge recorded usage with reports; the newer one of each source counts."""
         now_ms = self._clock.now_ms()
         self._drop_expired(now_ms)
         accounts: dict[tuple[str, str], list[Use]] = {}
         for use in recorded:
             accounts.setdefault(use.source, []).append(use)
         for source, timed_uses in self._usage_by_source.items():
-            told = _aged(timed_uses, now_ms)
-            if _youngest_ms(told) <= _youngest_ms(accounts.get(source, ())):
-                accounts[source] = told
+            reported = _with_current_age(timed_uses, now_ms)
+            if _min_age_ms(reported) <= _min_age_ms(accounts.get(source, ())):
+                accounts[source] = reported
         uses = chain.from_iterable(accounts.values())
         return [use for use in uses if use.age_ms < USE_MAX_AGE_MS]
 
@@ -229,14 +232,14 @@
         source = message.service, scheduler
         uses = [
             Use(
-                told.organisation,
-                told.age_ms,
-                told.tokens,
+                reported.organisation,
+                reported.age_ms,
+                reported.tokens,
                 scheduler,
-                told.bound,
+                reported.bound,
                 message.service,
             )
-            for told in message.uses
+            for reported in message.uses
         ]
         timed_uses = [(now_ms, use) for use in uses]
         if message.is_passed_on:
@@ -268,14 +271,16 @@
     )
 
 
-def _aged(timed_uses: Iterable[tuple[float, Use]], now_ms: float) -> list[Use]:
+def _with_current_age(
+    timed_uses: Iterable[tuple[float, Use]], now_ms: float
+) -> list[Use]:
     return [
         replace(use, age_ms=use.age_ms + int(now_ms - at_ms))
         for at_ms, use in timed_uses
     ]
 
 
-def _youngest_ms(uses: Iterable[Use]) -> float:
+def _min_age_ms(uses: Iterable[Use]) -> float:
     return min((use.age_ms for use in uses), default=inf)
 
 
--- a/src/pomelolane/forwarding/usage_publisher.py
+++ b/src/pomelolane/forwarding/usage_publisher.py
@@ -141,8 +141,9 @@
             receivers: VMs to send to.
             uses: The usage.
             adds: Whether it adds to the earlier reports, or replaces them.
-            guess_part: Part of the limits that the scheduler counts by a guess; None
-                for what the gateway admitted without a scheduler.
+            guess_part: Part of the limits that the scheduler assumes as used, because
+                it could not read the record; None for what the gateway admitted
+                without a scheduler.
         """
         _, account = self._usage_exchange.own_source(service)
         if guess_part is None:
--- a/tests/forwarding/ranks.feature
+++ b/tests/forwarding/ranks.feature
@@ -1,8 +1,8 @@
 Feature: Ranks of requests
   An organisation's rank takes precedence over its route's rank. Requests of public
-  routes have no organisation. They once got a rank behind the least urgent route of every
-  organisation, so that under overload almost none of them was answered: their routes
-  served 15 % of the requests where others served 85 %.
+  routes have no organisation. They once got a rank behind the least urgent route of
+  every organisation, so that under overload almost none of them was answered: their
+  routes served 15 % of the requests where others served 85 %.
 
   Scenario: Requests without an organisation rank with the least urgent organisation
     Given a configuration with the organisations
--- a/tests/steps/forwarding_steps.py
+++ b/tests/steps/forwarding_steps.py
@@ -129,7 +129,7 @@
 def step_send_ended(context, ended):
     context.state = CallState(_call())
     context.before = handle_from_state(context.state, "", 0.0)
-    context.state.tries = 1
+    context.state.grants = 1
     if "may have run" in ended:
         context.state.sends = 1
         context.state.may_have_run = True
