--- a/src/pomelolane/coordination/local_queues.py
+++ b/src/pomelolane/coordination/local_queues.py
@@ -1,7 +1,7 @@
-"""The gateway's own desks, for when no scheduler can be heard.
+"""The gateway's own service queues, used while no scheduler is reachable.
 
-Such a desk grants a fixed share of each endpoint's slots, so that VMs which
-cannot see each other's grants together still keep near the endpoints' size.
+A local queue grants only a share of each endpoint's slots, so that VMs which cannot
+see each other's grants together stay close to the endpoints' capacity.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 from pomelolane.model import Tree
 
 _SPARE_PART = 0.25
-"""Part of what is allowed beside a limit that all gateways which go alone let pass
-together in the first span: the scheduler that they followed may have let pass all that
-the limit allows, and the next one lets pass a part of its own before it has read the
-record."""
+"""Part of the allowance beyond a limit for all gateways with local queues together.
+
+It applies to the first limit window: their former scheduler may have used the whole
+limit, and the next one uses a part of the allowance before it has read the record.
+"""
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,16 +33,16 @@
 
 
 class LocalQueues:
-    """Private desks of one gateway, made when first needed.
+    """Local queues of one gateway, created when first needed.
 
     Args:
         vm_id: This VM.
-        reply: Takes the desks' answers.
-        clock: Time.
-        make_core: Makes the core of a service.
-        timings: Bounds.
-        rate_share: Returns this VM's share of organisations' rates.
-        dealt_to: Returns the VMs among which slots are dealt, this one first.
+        reply: Called with the queues' replies.
+        clock: Source of the current time.
+        make_core: Creates the core of a service.
+        timings: Timeouts and periods.
+        rate_share: Returns this VM's share of organisations' rate limits.
+        slot_owners_for: Returns the VMs that share the slots, this one first.
     """
 
     def __init__(
@@ -61,50 +62,50 @@
         self._make_core = make_core
         self._books: dict[str, LimitBook] = {}
         self._clock = clock
-        # The own gateway needs no sign of life.
-        patient = replace(timings, follower_silence_ms=math.inf)
+        # The gateway on this VM cannot fail separately, so it has no timeout.
+        local_timings = replace(timings, follower_silence_ms=math.inf)
         self._service_queues = ServiceQueues(
             self._core_of,
             self._send,
             clock,
-            patient,
+            local_timings,
             lambda followers: self._share,
             rate_share,
             lambda followers: slot_owners_for(),
         )
 
     def configure(self, tree: Tree, share: float) -> None:
-        """Adopt a tree, cut down to what may be granted, and the own share."""
+        """Apply a tree restricted to what may be granted, and this VM's slot share."""
         self._tree = tree
         self._share = share
         self._service_queues.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Grant nothing more to an endpoint."""
+        """Stop granting an endpoint."""
         self._service_queues.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
-        """Take back a mark."""
+        """Remove the leaving mark of an endpoint."""
         self._service_queues.mark_returned(endpoint_id)
 
     def tick(self) -> None:
-        """Drive the desks."""
+        """Run all queues."""
         self._service_queues.tick()
 
     def service_queues(self) -> dict[str, ServiceQueue]:
-        """Return the desks by service."""
+        """Return the queues by service."""
         return self._service_queues.by_service()
 
     def accounts(self) -> dict[str, LimitAccount]:
-        """Return what was let pass here, by service, also in earlier turns."""
+        """Return the limit usage by service, including that of closed queues."""
         return {
             name: LimitAccount(book, self._clock) for name, book in self._books.items()
         }
 
     def _core_of(self, service: str) -> SchedulingCore:
-        """Return a new core that goes on with what earlier ones let pass.
+        """Return a new core that continues the limit usage of earlier ones.
 
-        All else that those knew may be out of date.
+        Everything else that those knew may be out of date.
         """
         core = self._make_core(service)
         if hasattr(core, "limits"):
@@ -112,7 +113,7 @@
         return core
 
     def receive(self, service: str, message: Message) -> bool:
-        """Take a message of the gateway; without a service it is for all."""
+        """Handle a message of the gateway; without a service all queues get it."""
         if isinstance(message, Unfollow):
             self._service_queues.close(service)
         elif service:
--- a/src/pomelolane/coordination/request_table.py
+++ b/src/pomelolane/coordination/request_table.py
@@ -1,6 +1,6 @@
-"""A scheduler's record of the requests of one service and of their gateways.
+"""A scheduler's table of the requests of one service and of their gateways.
 
-It is soft state: gateways hold the truth and can rebuild all of it.
+This is soft state, rebuilt at any time from the gateways' authoritative records.
 """
 
 from __future__ import annotations
@@ -16,18 +16,21 @@
 class Entry:
     """One request that a gateway has registered.
 
+    Times are on this VM's clock.
+
     Attributes:
-        handle: What the gateway sent.
+        handle: The request's handle as the gateway sent it.
         gateway: VM that holds the request.
-        epoch: The gateway's number for its choice of this scheduler.
-        arrived_ms: When it was registered.
-        deadline_ms: Its deadline on this VM's clock.
-        endpoint_id: Where its slot is, empty while it waits.
-        expected_ttft_ms: As predicted when the slot was granted.
-        granted_ms: When the slot was granted or registered.
-        in_core: Whether the core knows the request.
-        absences: Syncs in a row in which the gateway did not list it.
-        free_at_ms: When the slot of a lost gateway's request is freed.
+        epoch: Number of the gateway's choice of this scheduler.
+        arrived_ms: Time of registration.
+        deadline_ms: Deadline of the request.
+        endpoint_id: Endpoint of the granted slot, empty while the request waits.
+        expected_ttft_ms: Time to first token predicted with the grant.
+        granted_ms: Time at which the slot was granted or registered as running.
+        in_core: Whether the core has been told of the request.
+        missed_syncs: Consecutive full syncs in which the gateway did not list it.
+        free_at_ms: Time at which the slot of a lost gateway's request is freed, None
+            while the gateway is present.
     """
 
     handle: Handle
@@ -49,28 +52,27 @@
 
     @property
     def urgency(self) -> tuple[int, float]:
-        """Sort key: by tier, then by deadline."""
+        """Sort key, by tier and then by deadline."""
         return self.handle.tier_rank, self.deadline_ms
 
     def is_same_attempt(self, gateway: str, handle: Handle) -> bool:
-        """Tell whether a handle is this very attempt again."""
+        """Return whether a handle repeats the same attempt from the same gateway."""
         return self.gateway == gateway and self.handle.attempt == handle.attempt
 
     def handle_at(self, now_ms: float) -> Handle:
-        """Return the handle with the budget that is left."""
+        """Return the handle with the remaining time budget."""
         budget_ms = max(0, round(self.deadline_ms - now_ms))
         return self.handle.with_budget(budget_ms, admitted=self.handle.admitted)
 
 
 @dataclass(slots=True)
 class Follower:
-    """A gateway that has this scheduler as its choice.
+    """A gateway that follows this scheduler.
 
     Attributes:
-        epoch: The newest number of its choice.
-        heard_ms: When it last sent something.
-        registered: Whether it has told all that it holds since the scheduler
-            took the role.
+        epoch: Highest epoch received from it.
+        heard_ms: Time of its last message.
+        registered: Whether it has registered all its requests since grants were held.
         entries: Its requests by id.
     """
 
@@ -81,7 +83,13 @@
 
 
 class RequestTable:
-    """All entries of a service, by request and by gateway."""
+    """All requests of a service, indexed by request and by gateway.
+
+    Attributes:
+        entries: All requests by id, including orphans.
+        followers: Gateways that follow this scheduler, by VM id.
+        orphans: Running requests of lost gateways, whose slots are still taken.
+    """
 
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
@@ -93,12 +101,12 @@
         return self.entries.get(request_id)
 
     def add(self, entry: Entry) -> None:
-        """Add an entry under its gateway, which must follow already."""
+        """Add an entry; its gateway must be a follower already."""
         self.entries[entry.request_id] = entry
         self.followers[entry.gateway].entries[entry.request_id] = entry
 
     def remove(self, entry: Entry) -> None:
-        """Remove an entry wherever it stands."""
+        """Remove an entry from all indexes."""
         self.entries.pop(entry.request_id, None)
         self.orphans.pop(entry.request_id, None)
         follower = self.followers.get(entry.gateway)
@@ -106,7 +114,7 @@
             follower.entries.pop(entry.request_id, None)
 
     def orphan(self, entry: Entry, free_at_ms: float) -> None:
-        """Keep a lost gateway's entry until its slot can be free."""
+        """Keep a lost gateway's entry until its slot is expected to be free."""
         entry.free_at_ms = free_at_ms
         self.orphans[entry.request_id] = entry
         follower = self.followers.get(entry.gateway)
@@ -114,7 +122,7 @@
             follower.entries.pop(entry.request_id, None)
 
     def adopt(self, entry: Entry, gateway: str, epoch: int) -> None:
-        """Count an entry, whether lost or not, as a follower's again."""
+        """Assign an entry, orphaned or not, to a follower."""
         self.remove(entry)
         entry.gateway = gateway
         entry.epoch = epoch
--- a/src/pomelolane/coordination/service_queues.py
+++ b/src/pomelolane/coordination/service_queues.py
@@ -1,7 +1,7 @@
-"""The desks of one VM by service, driven and marked together.
+"""A set of service queues that are configured, marked and ticked together.
 
-The scheduler role holds such a set for what it is chosen for, and the gateway
-holds another for when no scheduler can be heard.
+The scheduler role has one set for the services it schedules, the gateway another one
+to use while no scheduler is reachable.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 
 
 class ServiceQueues:
-    """A set of desks that share endpoints marked as leaving.
+    """Service queues that share the leaving marks of endpoints.
 
     Args:
-        make_core: Makes the core of a service.
+        make_core: Creates the core of a service.
         send: Sends a message to a gateway.
-        clock: Time.
-        timings: Bounds.
-        share_of: Share of each endpoint's slots for a set of followers.
-        rate_share: Share of organisations' rates.
-        dealt_to: VMs among which slots are dealt, for a set of followers.
+        clock: Source of the current time.
+        timings: Timeouts and periods.
+        slot_share_of: Returns the share of each endpoint's slots that may be granted
+            to a set of followers.
+        rate_share: Returns the share of organisations' rate limits that may be used.
+        slot_owners_for: Returns the VMs that share the slots, for a set of followers.
     """
 
     def __init__(
@@ -53,19 +54,19 @@
         self._leaving: set[str] = set()
 
     def by_service(self) -> dict[str, ServiceQueue]:
-        """Return the desks by service."""
+        """Return the queues by service."""
         return self._service_queues
 
     def all(self) -> list[ServiceQueue]:
-        """Return the desks as they are now, safe against changes meanwhile."""
+        """Return a copy of the current queues, safe to iterate over."""
         return list(self._service_queues.values())
 
     def get(self, service: str) -> ServiceQueue | None:
-        """Return the desk of a service, if there is one."""
+        """Return the queue of a service, if there is one."""
         return self._service_queues.get(service)
 
     def open(self, service: str, tree: Tree) -> ServiceQueue:
-        """Return the desk of a service, made under a tree if there is none."""
+        """Return the queue of a service, created with a tree if there is none."""
         service_queue = self._service_queues.get(service)
         if service_queue is None:
             service_queue = ServiceQueue(
@@ -85,34 +86,34 @@
         return service_queue
 
     def close(self, service: str) -> None:
-        """End the desk of a service, if there is one."""
+        """Close and remove the queue of a service, if there is one."""
         service_queue = self._service_queues.pop(service, None)
         if service_queue is not None:
             service_queue.close()
 
     def configure(self, tree: Tree) -> None:
-        """Let all desks adopt a settings tree."""
+        """Apply a settings tree to all queues."""
         for service_queue in self.all():
             service_queue.configure(tree)
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Grant nothing more to an endpoint."""
+        """Stop granting an endpoint."""
         self._leaving.add(endpoint_id)
         for service_queue in self.all():
             service_queue.mark_leaving(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
-        """Take back a mark."""
+        """Remove the leaving mark of an endpoint."""
         self._leaving.discard(endpoint_id)
         for service_queue in self.all():
             service_queue.mark_returned(endpoint_id)
 
     def keep_marks_of(self, endpoint_ids: Iterable[str]) -> None:
-        """Drop the marks of endpoints that are declared no more."""
+        """Keep only the leaving marks of these endpoints."""
         self._leaving &= set(endpoint_ids)
 
     def tick(self) -> None:
-        """Drive the desks."""
+        """Run all queues."""
         for service_queue in self.all():
             service_queue.tick()
 
--- a/src/pomelolane/coordination/timings.py
+++ b/src/pomelolane/coordination/timings.py
@@ -1,6 +1,6 @@
-"""Times and sizes that bound how gateways and schedulers meet.
+"""Timeouts and periods of the protocol between gateways and schedulers.
 
-The defaults suit data centres about a millisecond apart.
+The defaults suit data centres about one millisecond apart.
 """
 
 from __future__ import annotations
@@ -8,38 +8,38 @@
 from dataclasses import dataclass
 
 LOCAL = ""
-"""In place of a scheduler's VM id: the gateway's own private desk."""
+"""Stands for a scheduler's VM id if the gateway uses its local queues."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timings:
-    """How long each side waits for the other.
+    """Timeouts and periods of gateways and schedulers.
 
     Attributes:
         client_tick_ms: Period in which a gateway checks deadlines.
-        calm_tick_ms: The same while nothing waits there and it schedules nothing: a
-            third of the time that questions may stay unanswered. Most VMs of a fleet
-            are idle like that, and each tick costs processor time.
-        role_tick_ms: Period in which a scheduler drives its cores.
-        reply_ms: A question unanswered for this long is asked again.
-        reply_attempts: Questions unanswered after which a VM is suspected.
-        patience_ms: Longest silence after which a VM is suspected, also after false
-            alarms. Gateways that differ by more than a new scheduler holds lower
-            tiers (``settle_lower_ms``) would let those pass higher ones.
-        suspect_ms: How long a silent VM is left out, unless it is heard.
-        retry_ms: Pause after a VM said that it is not the scheduler.
-        waiting_sync_ms: Period of syncs while requests wait.
-        running_sync_ms: Period of syncs while requests only run.
-        whole_every: Each how many syncs long lists are sent.
-        progress_ms: Longest time for which token progress is gathered.
-        fallback_ms: Without a scheduler for this long a gateway goes alone.
-        settle_ms: Longest wait of a new scheduler for its gateways.
-        settle_lower_ms: How much longer it holds all but the highest tier.
-        linger_ms: How long a former scheduler serves those that follow it.
-        follower_silence_ms: A silent gateway is taken as gone after this.
-        orphan_grace_ms: Least time for which a lost gateway's slot is held.
+        idle_tick_ms: The same while no request waits and this VM schedules nothing, a
+            third of ``reply_ms``. Most VMs of a fleet are idle, and each tick costs
+            CPU time.
+        role_tick_ms: Period in which a scheduler ticks its cores.
+        reply_ms: Reply timeout, after which a message is sent again.
+        reply_attempts: Consecutive reply timeouts after which a VM is suspected.
+        max_silence_ms: Longest silence before a VM is suspected, even after false
+            alarms. If gateways differed by more than a new scheduler holds lower tiers
+            (``settle_lower_ms``), lower tiers could overtake higher ones.
+        suspect_ms: How long a suspected VM is skipped, unless it sends a message.
+        retry_ms: Delay after a VM replied that it is not the scheduler.
+        waiting_sync_ms: Sync period while requests wait.
+        running_sync_ms: Sync period while requests run and none waits.
+        full_sync_every: Long lists of requests are sent in each n-th sync only.
+        progress_ms: Longest time for which token progress is batched.
+        fallback_ms: Time without a scheduler after which a gateway uses local queues.
+        settle_ms: Longest time for which a new scheduler waits for its gateways.
+        settle_lower_ms: Additional time for which it holds all tiers but the highest.
+        linger_ms: How long a former scheduler still serves its followers.
+        follower_silence_ms: Silence after which a gateway counts as lost.
+        orphan_grace_ms: Shortest time for which a lost gateway's slot stays taken.
         orphan_limit_ms: Longest such time.
-        default_retry_after_ms: Used before a scheduler has named another.
+        default_retry_after_ms: Retry delay before a scheduler has named one.
     """
 
     client_tick_ms: float = 25.0
