--- a/src/pomelolane/coordination/backoffs.py
+++ b/src/pomelolane/coordination/backoffs.py
@@ -1,6 +1,6 @@
-"""Endpoints that want nothing from this VM for a while.
+"""Endpoints that asked this VM to send no requests for a while.
 
-Other VMs are not bound: a scheduler grants such an endpoint to them.
+Other VMs are not affected: the scheduler still grants them these endpoints.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class EndpointBackoffs:
-    """Times until which endpoints rest.
+    """Tracks until when this VM must not use an endpoint.
 
     Args:
-        clock: Time.
+        clock: Source of the current time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -31,7 +31,7 @@
         self._until_ms: dict[str, tuple[str, float]] = {}
 
     def start(self, service: str, endpoint_id: str, rest_ms: float) -> None:
-        """Send an endpoint nothing for a time; a rest that ends later stands."""
+        """Start a back-off, unless a current one of the endpoint ends later."""
         until_ms = self._clock.now_ms() + rest_ms
         _, before_ms = self._until_ms.get(endpoint_id, ("", 0.0))
         if until_ms <= before_ms:
@@ -42,31 +42,31 @@
         )
 
     def is_backing_off(self, endpoint_id: str) -> bool:
-        """Tell whether an endpoint rests now."""
+        """Return whether the back-off of an endpoint is still running."""
         _, until_ms = self._until_ms.get(endpoint_id, ("", 0.0))
         return self._clock.now_ms() < until_ms
 
     def remove(self, endpoint_ids: Iterable[str]) -> None:
-        """End the rests of endpoints that have begun anew."""
+        """Remove the back-offs of endpoints that have restarted."""
         for endpoint_id in endpoint_ids:
             self._until_ms.pop(endpoint_id, None)
 
     def excluded_from(self, handle: Handle) -> Handle:
-        """Return a handle that asks for none of the endpoints that rest."""
+        """Return the handle with its service's backing-off endpoints excluded."""
         if not self._until_ms:
             return handle
         now_ms = self._clock.now_ms()
         self._until_ms = {
-            endpoint_id: rest
-            for endpoint_id, rest in self._until_ms.items()
-            if now_ms < rest[1]
+            endpoint_id: backoff
+            for endpoint_id, backoff in self._until_ms.items()
+            if now_ms < backoff[1]
         }
-        resting = {
+        backing_off = {
             endpoint_id
             for endpoint_id, (service, _) in self._until_ms.items()
             if service == handle.service
         }
-        if not resting:
+        if not backing_off:
             return handle
-        excluded = tuple(sorted(resting.union(handle.excluded)))
+        excluded = tuple(sorted(backing_off.union(handle.excluded)))
         return msgspec.structs.replace(handle, excluded=excluded)
--- a/src/pomelolane/coordination/client.py
+++ b/src/pomelolane/coordination/client.py
@@ -56,9 +56,9 @@
         self._backoffs = EndpointBackoffs(context.clock)
         self._endpoint_starts_ms: dict[str, int] = {}
         self._retry_after_ms: dict[str, int] = {}
-        self._pinged_ms = context.clock.now_ms()
-        self._ran_ms = self._pinged_ms
-        self._distrust_until_ms = self._pinged_ms
+        self._last_ping_ms = context.clock.now_ms()
+        self._last_run_ms = self._last_ping_ms
+        self._distrust_until_ms = self._last_ping_ms
         self._distrusted_requests: set[str] = set()
         context.chooser.on_change(self._rechoose)
 
@@ -237,9 +237,9 @@
         They may predate a leaving mark that still waits in a socket, or come from the
         scheduler on this VM, which has not received the mark yet.
         """
-        if now_ms - self._ran_ms > _PAUSE_MS:
+        if now_ms - self._last_run_ms > _PAUSE_MS:
             self._distrust_until_ms = now_ms + _GRANT_DISTRUST_MS
-        self._ran_ms = now_ms
+        self._last_run_ms = now_ms
 
     def _resubmit_distrusted(self) -> None:
         """Submit again the requests whose grants were returned after a pause."""
@@ -326,9 +326,9 @@
         link.unfollow()
 
     def _ping_suspects(self, now_ms: float) -> None:
-        if now_ms - self._pinged_ms < self._context.timings.running_sync_ms:
+        if now_ms - self._last_ping_ms < self._context.timings.running_sync_ms:
             return
-        self._pinged_ms = now_ms
+        self._last_ping_ms = now_ms
         for vm_id in self._context.chooser.suspects():
             self._context.send(vm_id, "", Sync(PING, ""))
 
--- a/src/pomelolane/coordination/decisions.py
+++ b/src/pomelolane/coordination/decisions.py
@@ -1,7 +1,4 @@
-"""Log lines of a scheduler's decisions, with the figures that decided them.
-
-Every grant and refusal leaves one line.
-"""
+"""Logs each grant and refusal of a scheduler, with the values that led to it."""
 
 from __future__ import annotations
 
@@ -18,7 +15,7 @@
 
 
 def log_grant(entry: Entry, grant: Grant, core: SchedulingCore, now_ms: float) -> None:
-    """Write the line of a grant, with the prediction where the core tells it."""
+    """Log a grant, with its predicted times if the core provides them."""
     placement = _placement_of(core, grant.request_id)
     first_token_ms = grant.expected_ttft_ms
     log_event(
@@ -36,7 +33,7 @@
 
 
 def log_refusal(entry: Entry, refusal: Refusal, queued: int) -> None:
-    """Write the line of a refusal."""
+    """Log a refusal."""
     log_event(
         REFUSED,
         request=entry.request_id,
@@ -49,6 +46,6 @@
 
 
 def _placement_of(core: SchedulingCore, request_id: str) -> Placement | None:
-    """Return the figures of a grant, if this kind of core has any."""
+    """Return the predicted placement of a grant, if the core provides it."""
     read = getattr(core, "placement_of", None)
     return read(request_id) if read is not None else None
--- a/src/pomelolane/coordination/limit_account.py
+++ b/src/pomelolane/coordination/limit_account.py
@@ -1,4 +1,4 @@
-"""What a desk counts of organisations' limits, as of the desk's own clock."""
+"""Usage of organisations' limits in one service queue, on the queue's clock."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class LimitAccount:
-    """The account of one desk.
+    """Adds the current time to the calls on a queue's limit book.
 
     Args:
-        book: What was let pass, and the limits.
-        clock: The desk's time.
+        book: Holds the limits and what has been admitted against them.
+        clock: Clock of the service queue.
     """
 
     def __init__(self, book: LimitBook, clock: Clock) -> None:
@@ -26,61 +26,62 @@
         self._clock = clock
 
     def assume_used(self, spare_part: float) -> None:
-        """Guess that other schedulers let pass all that limits allow.
+        """Assume that other schedulers have used up all limits.
 
         Args:
-            spare_part: Part of what is allowed beside limits that may pass still.
+            spare_part: Part of the allowance beyond the limits that may be used still.
         """
         self._book.assume_used(spare_part, self._clock.now_ms())
 
     def uses(self) -> list[Use]:
-        """Return what passed here and still counts."""
+        """Return the usage admitted here that still counts."""
         return self._book.uses(self._clock.now_ms())
 
     def unrecorded_share(self) -> float:
-        """Return the largest part of an allowance that is not on record yet."""
+        """Return the largest share of an allowance not written to the record yet."""
         return self._book.unrecorded_share()
 
     def mark_recorded(self) -> None:
-        """Take note that the uses until now are on record."""
+        """Mark all usage until now as written to the record."""
         self._book.mark_recorded()
 
     def untold_share(self) -> float:
-        """Return the largest part of an allowance that is news to other schedulers."""
+        """Return the largest share of an allowance not sent to other schedulers yet."""
         return self._book.untold_share()
 
     def take_news(self) -> list[Use]:
-        """Return what passed since the last news; it counts as told then."""
+        """Return the usage since the last call, which then counts as sent."""
         return self._book.take_news()
 
     def guess_part(self) -> float:
-        """Return the part of limits that is counted as used by a guess."""
+        """Return the part of the limits that is assumed, not known, to be used."""
         return self._book.guess_part(self._clock.now_ms())
 
     def guessed(self) -> list[str]:
-        """Return the organisations whose limits are judged by a guess."""
+        """Return the organisations whose limits are applied with assumed usage."""
         return self._book.guessed(self._clock.now_ms())
 
     def take_uses(self, uses: Iterable[Use], *, guess_part: float = 0.0) -> None:
-        """Count what others let pass.
+        """Add usage admitted by other schedulers.
 
         Args:
-            uses: What they have recorded and told.
-            guess_part: Part of limits that those who told it count by a guess.
+            uses: Usage that they have recorded and sent.
+            guess_part: Part of the limits that the senders themselves only assume to
+                be used.
         """
         self._book.take_uses(uses, self._clock.now_ms(), guess_part=guess_part)
 
     def hear(self, source: tuple[str, str], uses: Iterable[Use], *, adds: bool) -> None:
-        """Count what another scheduler tells that it let pass.
+        """Add usage that another scheduler has sent.
 
         Args:
-            source: Whose account it is: the service and the start of a VM.
-            uses: What passed there.
-            adds: Whether it comes on top of what was told before, or replaces it.
+            source: Service and incarnation of the VM that admitted it.
+            uses: Usage admitted there.
+            adds: Whether it adds to earlier usage of this source or replaces it.
         """
         self._book.hear(source, uses, self._clock.now_ms(), adds=adds)
 
 
 def account_from_core(core: SchedulingCore, clock: Clock) -> LimitAccount:
-    """Return a core's account, an empty one where it shares no limits."""
+    """Return a core's account, an empty one if the core shares no limits."""
     return LimitAccount(getattr(core, "limits", None) or LimitBook(), clock)
--- a/src/pomelolane/coordination/limits.py
+++ b/src/pomelolane/coordination/limits.py
@@ -1,4 +1,4 @@
-"""The rates that endpoints have asked for in their answers, as one gateway heard."""
+"""Rate limits that endpoints announced in their answers to this gateway."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from collections.abc import Iterable
 
 
-_NONE = (math.inf, 0.0)
+_NO_LIMIT = (math.inf, 0.0)
 
 
 class EndpointLimits:
-    """Limits of one service's endpoints, the newest of each.
+    """The latest rate limit of each endpoint of one service.
 
     Args:
         service: Name of the service.
@@ -29,14 +29,14 @@
         self._limits: dict[str, tuple[float, float]] = {}
 
     def record(self, endpoint_id: str, limit_per_s: float, now_ms: float) -> None:
-        """Keep what an answer says.
+        """Store the limit that an answer contains.
 
         Args:
-            endpoint_id: The endpoint.
-            limit_per_s: Requests a second, infinite where it names no limit.
-            now_ms: The time.
+            endpoint_id: Endpoint that has answered.
+            limit_per_s: Requests per second, infinite if there is no limit.
+            now_ms: Current time.
         """
-        before_per_s, _ = self._limits.get(endpoint_id, _NONE)
+        before_per_s, _ = self._limits.get(endpoint_id, _NO_LIMIT)
         if math.isinf(limit_per_s):
             self._limits.pop(endpoint_id, None)
         else:
@@ -51,18 +51,18 @@
         )
 
     def remove(self, endpoint_ids: Iterable[str]) -> None:
-        """Drop what was heard of endpoints that have begun anew."""
+        """Remove the limits of endpoints that have restarted."""
         for endpoint_id in endpoint_ids:
             self._limits.pop(endpoint_id, None)
 
     def current(self, now_ms: float) -> tuple[NamedLimit, ...]:
-        """Return the limits that stand."""
+        """Return the limits that have not expired."""
         self._limits = {
             endpoint_id: limit
             for endpoint_id, limit in self._limits.items()
             if now_ms - limit[1] < LIMIT_KEPT_MS
         }
         return tuple(
-            NamedLimit(endpoint_id, limit_per_s, int(now_ms - heard_ms))
-            for endpoint_id, (limit_per_s, heard_ms) in self._limits.items()
+            NamedLimit(endpoint_id, limit_per_s, int(now_ms - received_ms))
+            for endpoint_id, (limit_per_s, received_ms) in self._limits.items()
         )
--- a/src/pomelolane/coordination/local_queues.py
+++ b/src/pomelolane/coordination/local_queues.py
@@ -60,7 +60,7 @@
         self._tree = Tree()
         self._share = 1.0
         self._make_core = make_core
-        self._books: dict[str, LimitBook] = {}
+        self._limit_books: dict[str, LimitBook] = {}
         self._clock = clock
         # The gateway on this VM cannot fail separately, so it has no timeout.
         local_timings = replace(timings, follower_silence_ms=math.inf)
@@ -99,7 +99,8 @@
     def accounts(self) -> dict[str, LimitAccount]:
         """Return the limit usage by service, including that of closed queues."""
         return {
-            name: LimitAccount(book, self._clock) for name, book in self._books.items()
+            name: LimitAccount(book, self._clock)
+            for name, book in self._limit_books.items()
         }
 
     def _core_of(self, service: str) -> SchedulingCore:
@@ -109,7 +110,7 @@
         """
         core = self._make_core(service)
         if hasattr(core, "limits"):
-            core.limits = self._books.setdefault(service, core.limits)
+            core.limits = self._limit_books.setdefault(service, core.limits)
         return core
 
     def receive(self, service: str, message: Message) -> bool:
--- a/src/pomelolane/coordination/progress.py
+++ b/src/pomelolane/coordination/progress.py
@@ -1,7 +1,7 @@
-"""Gathers what a gateway sees of its streams for their scheduler.
+"""Batches a gateway's stream events for the scheduler.
 
-Token progress of one request is summed up, so that a batch grows with the
-running requests and not with their tokens.
+Events of one request are merged, so that the batch size depends on the number of
+running requests, not on their tokens.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
         return len(self._events)
 
     def add(self, event: StreamEvent) -> None:
-        """Add an event, summed up with what waits of the same request."""
+        """Add an event, merged with the pending one of the same request."""
         earlier = self._events.get(event.request_id)
         merged = event if earlier is None else _merge(earlier, event)
         self._events[event.request_id] = merged
 
     def take(self) -> tuple[StreamEvent, ...]:
-        """Return and forget all events, in order of their first arrival."""
+        """Return and clear all events, in order of their first arrival."""
         events = tuple(self._events.values())
         self._events.clear()
         return events
--- a/src/pomelolane/coordination/reports.py
+++ b/src/pomelolane/coordination/reports.py
@@ -1,7 +1,7 @@
-"""Asks engines for their load and cache events on behalf of the cores.
+"""Polls engines for load reports and cache events for the scheduling cores.
 
-Only the VM that schedules a service asks its engines, so the number of calls
-does not grow with the VMs.
+Only the VM that schedules a service polls its engines, so the number of calls does
+not grow with the number of VMs.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 _LEAVING = "leaving"
 _TIMEOUT_S = 1.0
-_CALLS_AT_ONCE = 8
+_MAX_CONCURRENT_CALLS = 8
 
 
 class _Load(msgspec.Struct):
@@ -52,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PollerOptions:
-    """How engines are asked.
+    """Options of the poller.
 
     Attributes:
-        period_ms: Time between two rounds.
-        address_of: The route to an endpoint from this VM.
-        on_leaving: Told when an engine says that it is leaving.
+        period_ms: Time between two polling rounds.
+        address_of: Returns this VM's address of an endpoint.
+        on_leaving: Called when an engine reports itself as leaving.
     """
 
     address_of: Callable[[Endpoint], str]
@@ -66,12 +66,12 @@
 
 
 class ReportPoller:
-    """Feeds engines' own words into the desks.
+    """Passes engines' reports to the cores of their service queues.
 
     Args:
-        desks: Returns the desks whose engines are to be asked.
-        clock: Time.
-        options: How they are asked.
+        service_queues: Returns the queues whose engines are polled.
+        clock: Source of the current time.
+        options: Options of the poller.
     """
 
     def __init__(
@@ -84,11 +84,11 @@
         self._clock = clock
         self._options = options
         self._sequences: dict[str, int] = {}
-        self._call_slots = asyncio.Semaphore(_CALLS_AT_ONCE)
+        self._call_slots = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
         self._in_flight: set[tuple[int, str]] = set()
 
     async def run(self) -> None:
-        """Ask in rounds until cancelled; no round waits for a slow engine."""
+        """Poll periodically until cancelled; a slow engine delays no later round."""
         timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
@@ -99,7 +99,7 @@
                 await asyncio.sleep(self._options.period_ms / 1000)
 
     async def poll(self, session: aiohttp.ClientSession) -> None:
-        """Ask every engine once, but those that still owe an earlier answer."""
+        """Poll every engine once, except those with a poll still in flight."""
         calls = [
             self._poll_engine(session, service_queue, endpoint)
             for service_queue in list(self._service_queues())
@@ -113,15 +113,15 @@
         service_queue: ServiceQueue,
         endpoint: Endpoint,
     ) -> None:
-        asked = (id(service_queue), endpoint.endpoint_id)
-        if asked in self._in_flight:
+        key = (id(service_queue), endpoint.endpoint_id)
+        if key in self._in_flight:
             return
-        self._in_flight.add(asked)
+        self._in_flight.add(key)
         try:
             async with self._call_slots:
                 await self._poll_load_and_events(session, service_queue, endpoint)
         finally:
-            self._in_flight.discard(asked)
+            self._in_flight.discard(key)
 
     async def _poll_load_and_events(
         self,
@@ -140,7 +140,7 @@
     async def _get(
         self, session: aiohttp.ClientSession, endpoint: Endpoint, path: str
     ) -> bytes | None:
-        """Return a body, or None where the engine did not answer in time."""
+        """Return the response body, None without a timely response of status 200."""
         url = f"http://{self._options.address_of(endpoint)}{path}"
         try:
             async with session.get(url) as response:
@@ -177,10 +177,10 @@
             return
         now_ms = self._clock.now_ms()
         for event in events:
-            fact = CacheEvent(
+            cache_event = CacheEvent(
                 endpoint.endpoint_id, event.sequence, event.stored, event.prefix_hash
             )
-            service_queue.core.report_cache(fact, now_ms)
+            service_queue.core.report_cache(cache_event, now_ms)
         if events:
             last = max(event.sequence for event in events)
             self._sequences[endpoint.endpoint_id] = last
--- a/src/pomelolane/coordination/request_table.py
+++ b/src/pomelolane/coordination/request_table.py
@@ -71,13 +71,13 @@
 
     Attributes:
         epoch: Highest epoch received from it.
-        heard_ms: Time of its last message.
+        last_message_ms: Time of its last message.
         registered: Whether it has registered all its requests since grants were held.
         entries: Its requests by id.
     """
 
     epoch: int
-    heard_ms: float
+    last_message_ms: float
     registered: bool = False
     entries: dict[str, Entry] = field(default_factory=dict)
 
--- a/src/pomelolane/coordination/scope.py
+++ b/src/pomelolane/coordination/scope.py
@@ -1,7 +1,7 @@
-"""Which endpoints a scheduler grants.
+"""Restricts a settings tree to the endpoints and slots that a scheduler may grant.
 
-An endpoint belongs to the scheduler that the VMs of its own data centre
-follow, so a scheduler leaves out the data centres missing from its view.
+An endpoint belongs to the scheduler that the VMs of its data centre follow, so a
+scheduler excludes the data centres that are missing from its view.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 def reachable_data_centres(view: View, own: str) -> frozenset[str]:
-    """Return the data centres with a VM in the view, one's own included."""
+    """Return the data centres with a VM in the view, and this VM's own."""
     return frozenset(peer.data_centre for peer in view.peers.values()) | {own}
 
 
 def scoped_tree(tree: Tree, data_centres: frozenset[str]) -> Tree:
-    """Return the tree with all endpoints elsewhere as leaving.
+    """Return the tree with endpoints in other data centres set to leaving.
 
-    They are not dropped, so that a core still knows their speeds and what runs
-    there when a cut has healed.
+    They are not removed, so that a core still knows their speeds and running requests
+    once a network partition has ended.
     """
     endpoints = {
         endpoint_id: _scoped(endpoint, data_centres)
@@ -49,18 +49,19 @@
     vm_ids: Collection[str],
     limited: Collection[str] = (),
 ) -> Tree:
-    """Return the tree with those slots alone that are one VM's own.
+    """Return the tree with only the slots that belong to one VM.
 
-    Every slot is dealt to one of the VMs, so that VMs with equal views which all
-    grant by themselves grant no slot twice, however few slots there are for each.
-    An endpoint without a slot for this VM counts as leaving. One that has named a rate
-    belongs to one VM: a part of a rate is too little for a request now and then.
+    Every slot is assigned to exactly one VM, so VMs with equal views that grant
+    independently never grant a slot twice, however few slots each of them has.
+    An endpoint without a slot for this VM is set to leaving. An endpoint with a rate
+    limit belongs to a single VM, since a fraction of its rate could be too low for
+    even an occasional request.
 
     Args:
-        tree: The tree.
+        tree: The settings tree.
         vm_id: This VM.
-        vm_ids: All that grant by themselves.
-        limited: Endpoints that have named a rate.
+        vm_ids: All VMs that grant independently, this one included.
+        limited: Endpoints that have announced a rate limit.
     """
     endpoints = dict(tree.endpoints)
     for service in {one.service for one in endpoints.values()}:
--- a/src/pomelolane/coordination/service_queue.py
+++ b/src/pomelolane/coordination/service_queue.py
@@ -351,7 +351,7 @@
         if epoch < follower.epoch:
             return None
         follower.epoch = epoch
-        follower.heard_ms = now_ms
+        follower.last_message_ms = now_ms
         return follower
 
     def _take_waiting(self, gateway: str, epoch: int, handle: Handle) -> None:
@@ -455,7 +455,7 @@
         silent = [
             gateway
             for gateway, follower in self.request_table.followers.items()
-            if follower.entries and follower.heard_ms < oldest_ms
+            if follower.entries and follower.last_message_ms < oldest_ms
         ]
         for gateway in silent:
             self.drop_gateway(gateway)
--- a/src/pomelolane/coordination/status.py
+++ b/src/pomelolane/coordination/status.py
@@ -1,6 +1,6 @@
-"""What a VM tells operators about its part in scheduling.
+"""Status of a VM's scheduling for operators.
 
-The figures are read when asked for; nothing is counted for them alone.
+Values are read on demand; no counters are kept for the status alone.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceQueueStatus:
-    """A service's queue as its scheduler sees it.
+    """Status of a service queue.
 
     Attributes:
-        service: The service.
-        settling: Whether grants are held back until gateways registered.
-        followers: VMs that follow this one.
-        waiting_by_tier: Waiting requests by tier rank.
-        running_by_endpoint: Granted requests by endpoint.
-        core: What the core tells of itself, such as endpoint speeds.
+        service: Name of the service.
+        settling: Whether grants are held until all gateways have registered.
+        followers: VMs whose gateways follow this queue.
+        waiting_by_tier: Number of waiting requests by tier rank.
+        running_by_endpoint: Number of granted requests by endpoint.
+        core: Status of the core, such as endpoint speeds, None if it has none.
     """
 
     service: str
@@ -40,15 +40,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkStatus:
-    """Whom this VM's gateway follows for a service.
+    """Status of this VM's gateway for one service.
 
     Attributes:
-        service: The service.
-        scheduler: VM followed, empty while the gateway is alone.
-        epoch: Number of the choice.
-        waiting: Own requests that wait.
-        running: Own requests that run.
-        limits: Rates that endpoints in need have asked for.
+        service: Name of the service.
+        scheduler: VM that is followed, empty while the local queue is used.
+        epoch: Number of the current choice of scheduler.
+        waiting: Number of this gateway's waiting requests.
+        running: Number of this gateway's running requests.
+        limits: Rate limits that endpoints have announced.
     """
 
     service: str
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationStatus:
-    """All of a VM's links and desks.
+    """Status of all links and service queues of a VM.
 
     Attributes:
-        links: By service, of this VM's gateway.
+        links: Links of this VM's gateway, sorted by service.
         roles: Services that this VM schedules.
-        desks: Their queues, and private ones while alone.
-        suspects: VMs passed over because they are silent.
+        service_queues: Queues of the scheduler role and local queues.
+        suspects: VMs that are skipped because they are silent.
     """
 
     links: tuple[LinkStatus, ...]
@@ -77,7 +77,7 @@
 
 
 def service_queue_status(service_queue: ServiceQueue) -> ServiceQueueStatus:
-    """Return the status of a desk."""
+    """Return the status of a service queue."""
     entries = service_queue.request_table.entries.values()
     waiting = Counter(e.handle.tier_rank for e in entries if not e.endpoint_id)
     running = Counter(e.endpoint_id for e in entries if e.endpoint_id)
--- a/src/pomelolane/coordination/stragglers.py
+++ b/src/pomelolane/coordination/stragglers.py
@@ -1,6 +1,6 @@
-"""Logs when an endpoint turns slow or recovers, as its scheduler judges it.
+"""Logs when the scheduler classifies an endpoint as straggling or recovered.
 
-Decision cores are pure and log nothing; their figures are compared now and then.
+Scheduling cores do no I/O and log nothing, so their status is compared periodically.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class StragglerLogger:
-    """Compares the endpoints' states between two looks.
+    """Compares the endpoints' states between successive checks.
 
     Args:
-        clock: Time.
+        clock: Source of the current time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -32,7 +32,7 @@
         self._straggling: set[str] = set()
 
     def check(self, service_queues: Iterable[ServiceQueue]) -> None:
-        """Log what changed since the last look, a few times a second at most."""
+        """Log changes since the last check, at most every ``PERIOD_MS``."""
         now_ms = self._clock.now_ms()
         if now_ms < self._next_ms:
             return
--- a/src/pomelolane/coordination/stream_reporter.py
+++ b/src/pomelolane/coordination/stream_reporter.py
@@ -1,6 +1,6 @@
-"""What one running stream teaches the scheduler: first token, pace, end.
+"""Reports a stream's first token, decoding speed and end to the scheduler.
 
-The slot that was granted is freed exactly once, however the stream ends.
+The granted slot is freed exactly once, however the stream ends.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class StreamReporter:
-    """Reports on one dispatched attempt.
+    """Reports the progress of one dispatched attempt.
 
     Attributes:
-        grant: The grant it runs under.
-        ttft_ms: Time from dispatch to the first token, -1 until then.
+        grant: Grant of the attempt.
+        ttft_ms: Time from dispatch to the first byte of the answer, -1 until then.
     """
 
     def __init__(self, client: SchedulerClient, grant: Grant, clock: Clock) -> None:
@@ -29,45 +29,45 @@
         self.ttft_ms = -1.0
         self._client = client
         self._clock = clock
-        self._begun_ms = clock.now_ms()
-        self._reported_ms = self._begun_ms
+        self._dispatched_ms = clock.now_ms()
+        self._last_report_ms = self._dispatched_ms
         self._tokens = 0
         self._reported_tokens = 0
         self._done = False
         self._limit_per_s: float | None = None
 
     def note_dispatch(self) -> None:
-        """Note that the first byte of the request leaves now."""
-        self._begun_ms = self._clock.now_ms()
-        self._reported_ms = self._begun_ms
+        """Record that the first byte of the request is sent now."""
+        self._dispatched_ms = self._clock.now_ms()
+        self._last_report_ms = self._dispatched_ms
 
     def note_limit(self, limit_per_s: float | None) -> None:
-        """Pass on with the next report what rate the endpoint asks for.
+        """Include the endpoint's rate limit in the next report.
 
         Args:
-            limit_per_s: Requests a second, infinite for no limit, None for unknown.
+            limit_per_s: Requests per second, infinite for no limit, None for unknown.
         """
         if limit_per_s is not None:
             self._limit_per_s = limit_per_s
 
     def note_first_byte(self) -> None:
-        """Note the first byte of the answer."""
+        """Record and report the first byte of the answer; repeats are ignored."""
         if self.ttft_ms >= 0:
             return
         now_ms = self._clock.now_ms()
-        self.ttft_ms = now_ms - self._begun_ms
-        self._reported_ms = now_ms
+        self.ttft_ms = now_ms - self._dispatched_ms
+        self._last_report_ms = now_ms
         self._report(ttft_ms=self.ttft_ms)
 
     def note_tokens(self, tokens: int) -> None:
-        """Note the token events so far; reported a few times a second."""
+        """Record the number of tokens so far; reported every ``REPORT_EVERY_MS``."""
         self._tokens = tokens
         now_ms = self._clock.now_ms()
-        elapsed_ms = now_ms - self._reported_ms
+        elapsed_ms = now_ms - self._last_report_ms
         if elapsed_ms < REPORT_EVERY_MS:
             return
         self._report(tokens=self._new_tokens(), elapsed_ms=elapsed_ms)
-        self._reported_ms = now_ms
+        self._last_report_ms = now_ms
 
     def finish(
         self,
@@ -76,13 +76,13 @@
         refused: bool = False,
         cached_tokens: int = -1,
     ) -> None:
-        """Free the slot; only the first call counts."""
+        """Report the end, which frees the slot; only the first call counts."""
         if self._done:
             return
         self._done = True
         self._report(
             tokens=self._new_tokens(),
-            elapsed_ms=self._clock.now_ms() - self._reported_ms,
+            elapsed_ms=self._clock.now_ms() - self._last_report_ms,
             finished=True,
             outcome=outcome.value if outcome else "",
             refused=refused,
--- a/src/pomelolane/coordination/suspects.py
+++ b/src/pomelolane/coordination/suspects.py
@@ -1,7 +1,7 @@
-"""Keeps requests apart under which endpoints have crashed.
+"""Spreads requests suspected of crashing endpoints over different endpoints.
 
-Two that always run together cannot be told apart when their endpoint ends, and a
-harmless one would be refused with the other.
+If two suspects always shared an endpoint, a crash could not be attributed to one of
+them, and a harmless request would be refused together with the harmful one.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 def exclude_suspect_endpoints(
     handle: Handle, entries: Iterable[Entry], endpoints: Iterable[Endpoint]
 ) -> Handle:
-    """Return a suspect's handle without the endpoints that run another suspect.
+    """Return a suspect's handle with endpoints excluded that run another suspect.
 
     Args:
-        handle: Any request's handle; only suspects are kept apart.
-        entries: What waits and runs now.
-        endpoints: The service's endpoints. Where all of them run a suspect, the handle
-            stays as it is: it must not wait for long.
+        handle: Handle of any request; only those of suspects are changed.
+        entries: Requests that wait or run now.
+        endpoints: The service's endpoints. If all of them run a suspect, the handle is
+            returned unchanged, so that the request does not wait long.
     """
     if not handle.suspect:
         return handle
--- a/src/pomelolane/coordination/tickets.py
+++ b/src/pomelolane/coordination/tickets.py
@@ -1,6 +1,6 @@
-"""A gateway's own record of its requests, and what its links share.
+"""A gateway's records of its requests, and the dependencies of its links.
 
-This record is the truth; whatever schedulers keep is rebuilt from it.
+These records are authoritative; schedulers rebuild their state from them.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 @dataclass(slots=True)
 class Ticket:
-    """One call of ``acquire`` and the request it is for.
+    """A request between its ``acquire`` call and its end.
 
     Attributes:
-        handle: The handle as the gateway gave it.
-        deadline_ms: Its deadline on this VM's clock.
-        answer: Resolved with the grant or the refusal.
-        endpoint_id: Where it was granted, empty while it waits.
+        handle: Handle passed to ``acquire``, with endpoints excluded since then.
+        deadline_ms: Deadline on this VM's clock.
+        answer: Future that is resolved with the grant or the refusal.
+        endpoint_id: Endpoint of the granted slot, empty while the request waits.
         admitted: Whether a scheduler has counted it against limits.
-        started: Whether the first token was seen.
-        decoded_tokens: Answer tokens seen so far.
+        started: Whether the first token has arrived.
+        decoded_tokens: Number of answer tokens received so far.
     """
 
     handle: Handle
@@ -49,37 +49,37 @@
         return self.handle.request_id
 
     def handle_at(self, now_ms: float) -> Handle:
-        """Return the handle with the budget that is left."""
+        """Return the handle with the remaining time budget."""
         budget_ms = max(0, round(self.deadline_ms - now_ms))
         return self.handle.with_budget(budget_ms, admitted=self.admitted)
 
     def running_at(self, now_ms: float) -> RunningHandle:
-        """Return what a new scheduler has to know of the running request."""
+        """Return the handle that registers the running request with a scheduler."""
         return RunningHandle(
             self.handle_at(now_ms), self.endpoint_id, self.decoded_tokens, self.started
         )
 
     def update_progress(self, event: StreamEvent) -> None:
-        """Keep what an event tells of the request's progress."""
+        """Update the request's progress from a stream event."""
         self.started = self.started or event.ttft_ms >= 0 or event.tokens > 0
         self.decoded_tokens += event.tokens
 
 
 @dataclass(frozen=True, slots=True)
 class LinkContext:
-    """What all links of a gateway share.
+    """Dependencies that all links of a gateway share.
 
     Attributes:
         vm_id: This VM.
-        chooser: Whom to follow.
-        epochs: Numbers for choices.
-        clock: Time.
-        timings: Bounds.
+        chooser: Chooses the scheduler to follow.
+        epochs: Generates the epochs of the choices.
+        clock: Source of the current time.
+        timings: Timeouts and periods.
         send: ``send(scheduler, service, message)``; the scheduler may be
             ``LOCAL``.
-        defer: Calls a function later in the same turn of the loop.
-        share: The part of each endpoint's slots that is one's own when alone.
-        always_local: Whether the policy never follows another VM.
+        defer: Calls a function soon on the event loop.
+        share: Returns the share of each endpoint's slots that a local queue grants.
+        always_local: Whether the policy uses local queues only.
     """
 
     vm_id: str
