--- a/tests/clock.feature
+++ b/tests/clock.feature
@@ -7,26 +7,26 @@
     And one pause was told
 
   Scenario: A scheduler that was frozen pushes nobody out by what came in meanwhile
-    Given a desk that settles for gateways "a" and "b" with 1 free slot
-    And the desk's queue holds 1 request, its slot is taken and "a" waits in tier 1
-    When the desk settles anew
-    And the desk is asked by "b" for tier 0
-    Then the desk has refused nobody
+    Given a service queue that awaits gateways "a" and "b" with 1 free slot
+    And the queue may hold 1 request, its slot is taken and "a" waits in tier 1
+    When the queue settles again
+    And the queue gets a request from "b" for tier 0
+    Then the queue has refused nobody
 
   Scenario: Callers did not wait for a scheduler that was paused
-    Given a desk that settles for gateways "a" and "b" with 1 free slot
-    And the desk's queue holds 1 request, its slot is taken and "a" waits in tier 1
-    When the desk's VM was paused for 8500 ms
-    And the desk's clock moves on by 2600 ms
-    Then the desk has refused "a" only
+    Given a service queue that awaits gateways "a" and "b" with 1 free slot
+    And the queue may hold 1 request, its slot is taken and "a" waits in tier 1
+    When the queue's VM was paused for 8500 ms
+    And the queue's clock advances by 2600 ms
+    Then the queue has refused "a" only
 
   Scenario: What is told after a pause is not placed twice
-    Given a desk that settles for gateways "a" and "b" with 1 free slot
-    And the desk's queue holds 1 request, its slot is taken and "a" waits in tier 1
-    When the desk's VM was paused for 2000 ms
-    And the desk's clock moves on by 3000 ms
-    And the desk sees its first request end
-    Then the desk has granted "a" twice in all
+    Given a service queue that awaits gateways "a" and "b" with 1 free slot
+    And the queue may hold 1 request, its slot is taken and "a" waits in tier 1
+    When the queue's VM was paused for 2000 ms
+    And the queue's clock advances by 3000 ms
+    And the queue's first request ends
+    Then the queue has granted "a" twice in all
 
   Scenario: A suspension of the VM counts for everything that is measured
     Given the process's clock
--- a/tests/coordination/backoffs.feature
+++ b/tests/coordination/backoffs.feature
@@ -1,41 +1,41 @@
-Feature: Endpoints that ask a VM for rest
-  They get nothing from that VM, whoever schedules; others may send to them.
+Feature: Endpoints that tell a VM to back off
+  That VM sends them no requests, whichever VM schedules; other VMs may.
 
   Background:
     Given two coordinated VMs and one endpoint with 4 slots
 
-  Scenario: It rests from one VM and not from the other
-    When "a-0" is asked for 3000 ms of rest
+  Scenario: A back-off holds for one VM and not for the other
+    When "a-0" is told to back off for 3000 ms
     And "a-0" and "a-1" each ask for a slot
     Then "a-0" has used no slot and "a-1" one
 
-  Scenario: A rest ends
-    When "a-0" is asked for 3000 ms of rest
+  Scenario: A back-off ends
+    When "a-0" is told to back off for 3000 ms
     And 3000 ms pass for the coordinated VMs
     And "a-0" and "a-1" each ask for a slot
     Then "a-0" has used one slot and "a-1" one
 
-  Scenario: A shorter rest does not end a longer one
-    When "a-0" is asked for 3000 ms of rest
-    And "a-0" is asked for 500 ms of rest
+  Scenario: A shorter back-off does not end a longer one
+    When "a-0" is told to back off for 3000 ms
+    And "a-0" is told to back off for 500 ms
     And 1000 ms pass for the coordinated VMs
     And "a-0" and "a-1" each ask for a slot
     Then "a-0" has used no slot and "a-1" one
 
-  Scenario: What waits for a slot as the rest begins does not go there
+  Scenario: A request that waits when the back-off begins does not go there
     When "a-1" takes all slots for 500 ms
     And "a-0" and "a-1" each ask for a slot
-    And "a-0" is asked for 3000 ms of rest
+    And "a-0" is told to back off for 3000 ms
     And 1000 ms pass for the coordinated VMs
     Then "a-0" has used no slot and "a-1" one
 
-  Scenario: A new start is not bound by the rest that the one before has asked for
-    When "a-0" is asked for 3000 ms of rest
-    And the endpoint starts again
+  Scenario: A restart of the endpoint ends its back-off
+    When "a-0" is told to back off for 3000 ms
+    And the endpoint restarts
     And "a-0" and "a-1" each ask for a slot
     Then "a-0" has used one slot and "a-1" one
 
-  Scenario Outline: What the header may say
+  Scenario Outline: Accepted and rejected values of Retry-After
     Then an answer <status> with "Retry-After: <value>" asks for <ms> ms, <read>
 
     Examples:
--- a/tests/coordination/chooser.feature
+++ b/tests/coordination/chooser.feature
@@ -1,10 +1,10 @@
-Feature: What a VM knows of the others when it chooses
+Feature: A VM's share of the visible VMs
 
-  # Seen: more than a limit allows in a data centre that was cut off. A VM that had scheduled
-  # nothing asked how many VMs there are only after the cut, and took its part for the whole.
-  Scenario: A VM knows its part of the VMs that were there before a cut
-    Given a VM that sees 6 VMs for 60 s and asks for nothing
+  # Guards against exceeding limits in a data centre that is cut off: a VM that had scheduled
+  # nothing counted the VMs only after the cut, and took its part for the whole.
+  Scenario: The visible share counts VMs from before a network partition
+    Given a VM that sees 6 VMs for 60 s without calling its chooser
     When it sees 2 of them
-    Then its part of the VMs is 0.333
-    When 16 s go by
-    Then its part of the VMs is 1.000
+    Then its visible share of VMs is 0.333
+    When 16 s pass
+    Then its visible share of VMs is 1.000
--- a/tests/coordination/client.feature
+++ b/tests/coordination/client.feature
@@ -1,12 +1,12 @@
-Feature: A gateway gets slots from whichever VM schedules
-  Only the ticket of a waiting request can take a grant, so that no request
-  is dispatched twice whatever schedulers say.
+Feature: A gateway acquires slots from whichever VM schedules
+  Only the ticket of a waiting request accepts a grant, so that no request is
+  dispatched twice, whatever schedulers send.
 
   Background:
     Given a coordinated region of VMs "a-1 a-2 b-1 b-2 c-1 c-2"
     And coordinated endpoints "a/1=2 b/1=2 c/1=2"
 
-  Scenario: A single VM grants in the same turn without any wait
+  Scenario: A single VM grants in the same event loop iteration
     Given a coordinated region of VMs "a-1"
     When "a-1" asks for 3 slots of tier 0
     Then 2 coordinated requests have a slot before the clock moves
@@ -15,9 +15,9 @@
     When "each" asks for 5 slots of tier 1
     Then all coordinated requests run exactly once
     And no coordinated endpoint ever ran more than its slots
-    And no scheduler holds anything in the end
+    And no scheduler holds any request in the end
 
-  Scenario: A higher tier goes first over all VMs
+  Scenario: A higher tier goes first across all VMs
     Given all coordinated slots are taken
     When "each" asks for 2 slots of tier 2
     And "each" asks for 2 slots of tier 0
@@ -30,12 +30,12 @@
     When "b-1" asks for a slot with 400 ms left
     And the coordinated clock moves by 450 ms
     Then the last coordinated request was refused as "deadline_passed"
-    And the refusal says that it did not run and when to come back
+    And the refusal has the outcome not_run and a retry delay
     And the scheduler has no waiting request
 
-  Scenario: A refusal of the scheduler reaches the caller with its figures
+  Scenario: A refusal of the scheduler reaches the caller with its retry delay
     Given all coordinated slots are taken for 5000 ms
-    When the scheduler refuses a request of "b-1" with 70 ms to wait
+    When the scheduler refuses a request of "b-1" with 70 ms retry delay
     Then the last coordinated request was refused as "deadline_passed"
 
   Scenario: Cancelling a waiting request withdraws it
@@ -44,78 +44,78 @@
     And the last coordinated request is cancelled
     Then the scheduler has no waiting request
 
-  Scenario: A grant for a request that was cancelled meanwhile is given back
-    Given messages of kind "Granted" are kept back
+  Scenario: A grant for a request that was cancelled meanwhile is returned
+    Given messages of kind "Granted" are held back
     When "another" asks for 1 slots of tier 0
     And the last coordinated request is cancelled
-    And the kept messages arrive
-    Then no scheduler holds anything in the end
+    And the held messages arrive
+    Then no scheduler holds any request in the end
     And the last coordinated request ran at "nowhere"
 
-  Scenario: A grant repeated by the network is used once
-    Given a network that loses 0 %, doubles 100 % and delays by up to 0 ms
+  Scenario: A grant duplicated by the network is used once
+    Given a network that loses 0 %, duplicates 100 % and delays by up to 0 ms
     When "each" asks for 4 slots of tier 0
     Then all coordinated requests run exactly once
-    And no scheduler holds anything in the end
+    And no scheduler holds any request in the end
 
   Scenario: A lost grant is sent again
     Given no message of kind "Granted" arrives
     When "another" asks for 1 slots of tier 0
     And the coordinated clock moves by 200 ms
-    And the network is whole again
+    And the network works again
     Then all coordinated requests run exactly once
-    And no scheduler holds anything in the end
+    And no scheduler holds any request in the end
 
-  Scenario: A lost submit is sent again with the budget that is left
+  Scenario: A lost submit is sent again with the remaining budget
     Given no message of kind "Submit" arrives
     When "another" asks for 1 slots of tier 0
     And the coordinated clock moves by 200 ms
-    And the network is whole again and submits are noted
+    And the network works again and submits are recorded
     Then all coordinated requests run exactly once
-    And the scheduler heard a budget that had shrunk
+    And the scheduler received a smaller time budget
 
-  Scenario: A lost release is found by comparing books
+  Scenario: A lost slot release is detected by the next syncs
     Given no message of kind "Progress" arrives
     When "another" asks for 1 slots of tier 0
     And the coordinated clock moves by 200 ms
-    And the network is whole again
+    And the network works again
     Then all coordinated requests run exactly once
-    And no scheduler holds anything after 3000 ms
+    And no scheduler holds any request after 3000 ms
 
   Scenario: A grant for an endpoint known to be leaving is not used
-    Given all coordinated endpoints but "b/1" are leaving, as the gateways know
+    Given all coordinated endpoints but "b/1" are marked leaving except on the scheduler
     When "another" asks for 1 slots of tier 0
     Then all coordinated requests run exactly once
     And the last coordinated request ran at "b/1"
 
-  Scenario: A gateway that has not run for long uses no grant from before
+  Scenario: A gateway that was paused uses no grant from before the pause
     Given all coordinated slots are taken for 500 ms
     When "another" asks for 1 slots of tier 0
     And the asking gateway freezes for 1500 ms
-    Then the asking gateway has a grant in its hands and uses it not
+    Then the asking gateway was granted a slot and does not use it
     And all coordinated requests run exactly once
 
   Scenario: Grants for an endpoint that has returned are used again
     Given a coordinated region of VMs "a-1"
-    And all coordinated endpoints are leaving, as all VMs know
-    And all coordinated endpoints have returned, as all VMs know
+    And all coordinated endpoints are marked leaving on all VMs
+    And all coordinated endpoints have their marks removed on all VMs
     When "a-1" asks for 3 slots of tier 0
     Then 2 coordinated requests have a slot before the clock moves
 
-  Scenario: A request id in use is not queued again
+  Scenario: A request id in use is refused
     Given all coordinated slots are taken for 5000 ms
     When "b-1" asks twice with one request id
     Then the last coordinated request was refused as "claim_held"
 
-  Scenario: An unknown service is refused as not run
+  Scenario: A request for an unknown service is refused
     When "b-1" asks for a slot of an unknown service
     Then the last coordinated request was refused as "not_ready"
 
-  Scenario Outline: Messages lost, delayed and doubled lose no request
-    Given a network that loses <loss> %, doubles <doubled> % and delays by up to <delay> ms
+  Scenario Outline: No request is lost if messages are lost, delayed and duplicated
+    Given a network that loses <loss> %, duplicates <doubled> % and delays by up to <delay> ms
     When "each" asks for 6 slots of tier 1
     Then all coordinated requests run exactly once
-    And no scheduler holds anything in the end
+    And no scheduler holds any request in the end
 
     Examples:
       | loss | doubled | delay |
@@ -123,5 +123,5 @@
       | 20   | 20      | 40    |
       | 40   | 0       | 10    |
 
-  Scenario: No schedule of faults loses a request or runs one twice
-    Then whatever hypothesis does to the region, each request ends exactly once
+  Scenario: No sequence of faults loses a request or runs one twice
+    Then under faults generated by hypothesis, each request ends exactly once
--- a/tests/coordination/fakes.py
+++ b/tests/coordination/fakes.py
@@ -1,7 +1,7 @@
 """Fakes of the ports for the coordination features.
 
-A whole region runs in one process on a clock that the steps move, over a
-network that can lose, delay, duplicate and cut.
+A whole region runs in one process on a manual clock. Its network can lose, delay,
+duplicate and hold messages, and be partitioned.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
         self.service = service
         self.slots = {}
         self.leaving = set()
-        self.out = set()
+        self.unavailable = set()
         self.share = 1.0
         self.queue = {}
         self.granted = {}
@@ -29,7 +29,7 @@
             for e in tree.endpoints.values()
             if e.service == self.service
         }
-        self.out = {e.endpoint_id for e in tree.endpoints.values() if e.leaving}
+        self.unavailable = {e.endpoint_id for e in tree.endpoints.values() if e.leaving}
         return self._decide(now_ms)
 
     def submit(self, handle, now_ms):
@@ -88,7 +88,7 @@
             usable = [
                 e
                 for e in sorted(self.slots)
-                if e not in self.leaving | self.out | set(handle.excluded)
+                if e not in self.leaving | self.unavailable | set(handle.excluded)
             ]
             best = max(usable, key=self.free, default=None)
             if best is None or self.free(best) <= 0:
@@ -144,13 +144,13 @@
         self.random = random.Random(seed)
         self.loss = 0.0
         self.duplication = 0.0
-        self.most_delay_ms = 0
+        self.max_delay_ms = 0
         self.cuts = set()
         self.queue = []
         self.sent = 0
-        self.kept = []
+        self.held = []
         self.dropped_kinds = set()
-        self.kept_kinds = set()
+        self.held_kinds = set()
 
     def send(self, sender, receiver, message):
         if receiver not in self.world.vms:
@@ -163,14 +163,14 @@
             return True
         if type(message).__name__ in self.dropped_kinds:
             return True
-        if type(message).__name__ in self.kept_kinds:
-            self.kept.append((sender, receiver, message))
+        if type(message).__name__ in self.held_kinds:
+            self.held.append((sender, receiver, message))
             return True
         if self.random.random() < self.loss:
             return True
         copies = 2 if self.random.random() < self.duplication else 1
         for _ in range(copies):
-            delay_ms = self.random.randint(0, self.most_delay_ms)
+            delay_ms = self.random.randint(0, self.max_delay_ms)
             self._put(sender, receiver, message, delay_ms)
         return True
 
@@ -179,15 +179,15 @@
         data = encode_message(message)
         self.queue.append((due_ms, sender, receiver, data))
 
-    def make_whole(self):
-        """Lose, double and keep back nothing more; cuts stay."""
+    def restore(self):
+        """Stop losing, duplicating and holding messages; partitions remain."""
         self.loss = self.duplication = 0.0
         self.dropped_kinds = set()
-        self.kept_kinds = set()
+        self.held_kinds = set()
 
-    def release_kept(self):
-        kept, self.kept = self.kept, []
-        for sender, receiver, message in kept:
+    def release_held(self):
+        held, self.held = self.held, []
+        for sender, receiver, message in held:
             self._put(sender, receiver, message, 0)
 
     def deliver(self):
--- a/tests/coordination/limited_world.py
+++ b/tests/coordination/limited_world.py
@@ -1,6 +1,6 @@
-"""A region whose organisations have limits, with the record of their use.
+"""A region whose organisations have limits, with the usage record in memory.
 
-The record lies in memory; schedulers write and read it like the platform's.
+Schedulers write and read it like the record of the platform.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from pomelolane.scheduler.objective.core import make_objective_core
 from tests.coordination.world import World
 
-SPAN_MS = 8_000
-BOUND = 6_000
-BESIDE = 1_200
-ASK_EACH_MS = 100
-LEDGER_EACH_MS = 250
+WINDOW_MS = 8_000
+LIMIT_TOKENS = 6_000
+SPARE_TOKENS = 1_200
+REQUEST_PERIOD_MS = 100
+LEDGER_PERIOD_MS = 250
 BUDGET_MS = 4_000
 GREEDY = "greedy"
 MODEST = "modest"
@@ -32,7 +32,7 @@
 
 
 class MemoryRecord:
-    """Rows of uses by service and start of a VM; each start reads all but its own."""
+    """Usage by service and VM incarnation; each reads all rows but its own."""
 
     def __init__(self, world, vm_id):
         self._world = world
@@ -59,12 +59,12 @@
         ]
 
     def _check(self):
-        if self._world.store_is_away:
-            raise PlatformUnavailableError("the store is away")
+        if self._world.store_is_down:
+            raise PlatformUnavailableError("the store is down")
 
 
 class LimitedWorld(World):
-    """Two organisations ask the services; each keeps its limit or not."""
+    """Organisations send requests within or above their limits."""
 
     def __init__(self, names, services, slots=400, data_centres=("a",)):
         super().__init__(
@@ -87,22 +87,24 @@
                 for name in services
             },
         )
-        self.limit(BOUND)
+        self.limit(LIMIT_TOKENS)
         self.record = {}
-        self.store_is_away = False
+        self.store_is_down = False
         self.ledgers = {}
         self.news = {}
         for name in self.vms:
-            self._keep_account(name)
+            self._start_ledger(name)
         self.asked = 0
-        self.due = Counter()
+        self.due_requests = Counter()
         self.ledger_at_ms = 0.0
-        self.stops = []
-        self.turns = 0
+        self.handovers = []
+        self.ticks = 0
 
     def limit(self, bound):
         limits = Limits(
-            tokens_per_s=bound * 1000 / SPAN_MS, window_ms=SPAN_MS, window_spare=BESIDE
+            tokens_per_s=bound * 1000 / WINDOW_MS,
+            window_ms=WINDOW_MS,
+            window_spare=SPARE_TOKENS,
         )
         organisations = {
             name: Organisation(name, "", "", limits=limits)
@@ -110,7 +112,7 @@
         }
         self.tree = replace(self.tree, organisations=organisations)
 
-    def _keep_account(self, name):
+    def _start_ledger(self, name):
         vm = self.vms[name]
         told = ToldUses(
             name, vm.peer.incarnation, vm.membership, vm.transport, self.clock
@@ -119,43 +121,43 @@
         self.ledgers[name] = Ledger(vm.coordination, record, told, load_delay_s=0.0)
         self.news[name] = UseNews(name, vm.coordination, told)
 
-    async def lose(self, name):
-        """Kill a VM; the others see that it is gone."""
+    async def kill_vm(self, name):
+        """Kill a VM and remove it from the views."""
         del self.ledgers[name], self.news[name]
         self.kill(name)
         self.share_view()
         await self.settle()
 
-    async def leave(self, name):
-        """Begin a planned stop of a VM: it hands over its roles."""
+    async def begin_handover(self, name):
+        """Begin a planned stop, in which a VM hands over its roles."""
         stop = asyncio.ensure_future(self.vms[name].coordination.handover())
-        self.stops.append(stop)
+        self.handovers.append(stop)
         await self.settle()
 
-    async def hand_over(self, name):
-        """Begin a planned stop of which the others hear from the VM itself."""
+    async def drain_and_hand_over(self, name):
+        """Begin a planned stop after the views show the VM as draining."""
         self.peers[name] = replace(self.peers[name], draining=True)
         self.share_view()
-        await self.leave(name)
+        await self.begin_handover(name)
 
-    async def see_reachable(self):
-        """Let each VM see those that it reaches."""
+    async def update_reachable_views(self):
+        """Set the view of each VM to the VMs that it can reach."""
         self.share_reachable_views()
         await self.settle()
 
-    async def start_again(self, name):
+    async def start_lost_vm(self, name):
         self.incarnation += 1
         self.peers[name] = replace(
             self.peers[name], incarnation=self.incarnation, draining=False
         )
         self.start_vm(name)
-        self._keep_account(name)
+        self._start_ledger(name)
         self.share_view()
         self.vms[name].coordination.configure(self.tree)
         await self.settle()
 
-    async def hear_from_gone(self, service, organisation, tokens, *, guess_part):
-        """Let all hear what a VM told before it was gone."""
+    async def deliver_from_lost_vm(self, service, organisation, tokens, *, guess_part):
+        """Deliver to all VMs the usage that a lost VM has sent."""
         vm_id = "gone"
         use = ToldUse(organisation, 0, tokens)
         message = UsesTold(service, (use,), leaves=True, guess_part=guess_part)
@@ -163,37 +165,38 @@
             vm.transport.deliver(vm_id, message)
         await self.settle()
 
-    async def ask_for(self, for_ms, tokens, counts):
-        """Ask each so often; ``counts`` has requests by organisation and service.
+    async def send_requests(self, for_ms, tokens, counts):
+        """Send requests periodically for a time in ms.
 
-        A part of a request is due when it has come to a whole one.
+        ``counts`` holds requests per period by organisation and service; fractions
+        accumulate over periods.
         """
         end_ms = self.clock.now_ms() + for_ms
         while self.clock.now_ms() < end_ms:
             gateways = sorted(self.vms)
-            self.due.update(counts)
+            self.due_requests.update(counts)
             for organisation, service in counts:
-                count = int(self.due[organisation, service])
-                self.due[organisation, service] -= count
+                count = int(self.due_requests[organisation, service])
+                self.due_requests[organisation, service] -= count
                 for _ in range(count):
                     gateway = gateways[self.asked % len(gateways)]
                     self.asked += 1
                     name = f"{organisation}-{self.asked}"
                     self.ask(gateway, handle(name, organisation, service, tokens))
             await self.settle()
-            await self.run(ASK_EACH_MS)
-            self.turns += 1
+            await self.run(REQUEST_PERIOD_MS)
+            self.ticks += 1
             for news in self.news.values():
-                news.tell(whole=self.turns % WHOLE_TICKS == 0)
+                news.tell(whole=self.ticks % WHOLE_TICKS == 0)
             await self.settle()
             if self.clock.now_ms() >= self.ledger_at_ms:
-                self.ledger_at_ms = self.clock.now_ms() + LEDGER_EACH_MS
+                self.ledger_at_ms = self.clock.now_ms() + LEDGER_PERIOD_MS
                 for ledger in list(self.ledgers.values()):
                     ledger.read_again()
                     await ledger.save(only_due=True)
 
-    def most_in_a_span(self, organisation):
-        """Return the most tokens that were let pass in any span."""
+    def max_tokens_in_window(self, organisation):
+        """Return the most tokens that were admitted in any time window."""
         passed = sorted(
             (request.granted_ms, request.handle.charge_tokens)
             for request in self.requests.values()
@@ -203,14 +206,14 @@
         most = first = total = 0
         for at_ms, tokens in passed:
             total += tokens
-            while passed[first][0] <= at_ms - SPAN_MS:
+            while passed[first][0] <= at_ms - WINDOW_MS:
                 total -= passed[first][1]
                 first += 1
             most = max(most, total)
         return most
 
-    def ends(self, organisation, since_ms=0.0, until_ms=math.inf):
-        """Count what became of the requests, by the type of the result."""
+    def count_results(self, organisation, since_ms=0.0, until_ms=math.inf):
+        """Count the requests' results by type."""
         return Counter(
             type(request.result).__name__
             for request in self.requests.values()
@@ -220,7 +223,7 @@
 
 
 def handle(request_id, organisation, service, tokens):
-    """Return a handle that may wait for as long as its caller stays."""
+    """Return a handle that may wait for its whole time budget."""
     return Handle(
         request_id,
         service,
--- a/tests/coordination/limits.feature
+++ b/tests/coordination/limits.feature
@@ -1,19 +1,18 @@
 Feature: An organisation's limit holds over all VMs and services
-  Whoever lets its requests pass, and however often that changes: any span of the limit
-  holds no more than the limit and what is allowed beside it.
-
-  # Seen: an organisation that asked for several times its limit had more tokens run in a
-  # span than it may; engines and plain workers had a part in it. Each service has a
-  # scheduler of its own, and each let pass the whole limit: it counted what passed under
-  # itself, and read and heard of its own service alone. Proved by this test: 12,000 and
-  # 18,000 tokens of 7,200 for two and three services, with no fault at all.
-  Scenario Outline: An organisation has its limit once, however many services it asks
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  Whichever VMs admit its requests, and however often that changes: no time window of the
+  limit admits more than the limit plus the spare allowance.
+
+  # Guards against each service's scheduler admitting the whole limit: it counted and read
+  # only the usage of its own service. Without any fault, an organisation that requests
+  # several times its limit got 12,000 and 18,000 tokens instead of 7,200 with two and
+  # three services, from engines and plain workers alike.
+  Scenario Outline: An organisation has its limit once, however many services it uses
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one asks each service for several times that
-    Then no span has more of its tokens run than that
-    And it had nearly all that the limit allows
-    And one that is far within its limit is refused nothing
+    When one requests several times its limit from each service
+    Then no window admits more of its tokens than limit and spare
+    And it used nearly its whole limit
+    And one far below its limit gets no refusal
 
     Examples:
       | count |
@@ -21,33 +20,33 @@
       | 2     |
       | 3     |
 
-  # Seen with it: what passed before a limit was lowered might pass again once it was
-  # raised. What had passed was scaled down with the limit, and stayed so: 6,000 tokens
-  # under a limit of 6,000 were 3,000 from then on, and 9,000 ran in one span.
-  Scenario: A limit that is lowered and raised is never had twice
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
-    When one asks for several times that while the limit is halved and taken back
-    Then no span has more of its tokens run than that
+  # Guards against scaling recorded usage down together with a lowered limit and not
+  # restoring it: 6,000 tokens under a limit of 6,000 counted as 3,000 from then on, and
+  # 9,000 were admitted in one window.
+  Scenario: A limit that is lowered and raised is never used twice
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
+    When one requests several times its limit while it is halved and restored
+    Then no window admits more of its tokens than limit and spare
 
-  Scenario Outline: Schedulers that are killed leave their account behind
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  Scenario Outline: The usage counted by a killed scheduler is kept
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one asks each service for several times that while each scheduler is killed
-    Then no span has more of its tokens run than that
+    When one requests several times its limit from each service while each scheduler is killed
+    Then no window admits more of its tokens than limit and spare
 
     Examples:
       | count |
       | 1     |
       | 2     |
 
-  # Seen: more than the limit where schedulers were killed one after the other, under one
-  # organisation's burst. The next scheduler knew only the record, which lacks what passed
-  # last: within what is allowed beside for one kill, and again with each kill in a span.
-  # Proved by 9,175 and 11,175 tokens for two and three kills.
-  Scenario Outline: What a scheduler let pass in a burst is known when it is killed
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  # Guards against exceeding the limit when schedulers are killed one after the other in one
+  # organisation's burst. The next scheduler knew only the record, which lacks the latest
+  # usage. One kill stays within the spare allowance, but each kill in a window adds to it:
+  # 9,175 and 11,175 tokens were admitted with two and three kills.
+  Scenario Outline: The usage admitted in a burst is known when the scheduler is killed
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     When the scheduler is killed after each <each_ms> ms of a burst, <times> times
-    Then no span has more of its tokens run than that
+    Then no window admits more of its tokens than limit and spare
 
     Examples:
       | each_ms | times |
@@ -57,25 +56,26 @@
       | 400     | 2     |
       | 300     | 3     |
 
-  Scenario Outline: Schedulers that leave take their account along
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  Scenario Outline: The usage counted by a leaving scheduler is handed over
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one asks each service for several times that while schedulers hand over
-    Then no span has more of its tokens run than that
+    When one requests several times its limit from each service while schedulers hand over
+    Then no window admits more of its tokens than limit and spare
 
     Examples:
       | count |
       | 1     |
       | 2     |
 
-  # Gateways that hear no scheduler let pass a part, and what had room under the one that
-  # they followed. They tell it when they are heard again; until then VMs that are cut off
-  # from each other hold the same roles, and each counts for itself.
-  Scenario Outline: What gateways let pass alone counts
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  # Gateways that reach no scheduler admit a part of the spare allowance, and requests that
+  # were within the limit at their former scheduler. They report this usage when they are
+  # reachable again. Until then VMs that are cut off from each other hold the same roles and
+  # count separately.
+  Scenario Outline: Usage admitted by gateways in local fallback counts
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one asks for several times that, and its gateways go alone <times> times
-    Then no span has more of its tokens run than that
+    When one requests several times its limit, and its gateways fall back <times> times
+    Then no window admits more of its tokens than limit and spare
 
     Examples:
       | count | times |
@@ -83,13 +83,13 @@
       | 1     | 3     |
       | 2     | 3     |
 
-  # When all VMs lose power, every service gets a new scheduler at once. Each let pass half
-  # of what is beside a limit before it knew anything; proved by 1,200 and 1,800 tokens.
-  Scenario Outline: New schedulers that know nothing share half of what is beside
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  # When all VMs lose power, every service gets a new scheduler at once. Each of them admitted
+  # half of the spare allowance before it knew any usage: 1,200 and 1,800 tokens in total.
+  Scenario Outline: New schedulers without a record share half of the spare allowance
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When the store is away and one asks new schedulers of each for 1000 at once
-    Then 600 of its tokens run at most
+    When the store is down and one asks each service's new scheduler for 1000 at once
+    Then 600 of its tokens are admitted at most
 
     Examples:
       | count |
@@ -97,33 +97,33 @@
       | 2     |
       | 3     |
 
-  # A role moves while the store is away, and one VM that had a role for a moment tells what
-  # passed there: the new scheduler took it for the record of all, and dropped its guess of
-  # what the others had let pass. Proved by 5,000 tokens where 600 are its part.
-  Scenario: A scheduler that cannot read the record keeps its guess whatever it hears
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
-    When new schedulers hear of 100 tokens that one other let pass
-    Then 600 of its tokens run at most
-    And it is told that its limit is judged by a guess
-
-  Scenario: A scheduler that cannot read the record believes the one before it
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
-    When new schedulers hear of 100 tokens that the one before let pass
-    Then 4000 of its tokens run at least
-
-  # Seen: organisations far within their limits were refused for seconds, where a scheduler
-  # started while the store was away. It could not read the record and guessed that each
-  # of them had had all that its limit allows: the one before it had told all it knew, but
-  # also that it had not held the role for a whole span, and its word was put aside.
-  # Proved by this test: of 46 or 47 requests of one that asks for a tenth of its limit 3
-  # to 17 were refused, of 236 of one that asks for half of it 26.
-  Scenario Outline: Who is below its limit is refused nothing while the store is away
-    Given a region whose organisations may use 6000 tokens in 8 s, and 1200 beside
+  # Guards against taking the usage reported by one VM for the complete record. A role moves
+  # while the store is down, and a VM that held it only briefly reports what it admitted. The
+  # new scheduler then dropped the usage it assumed of the others, and admitted 5,000 tokens
+  # instead of its part of 600.
+  Scenario: A scheduler without the record keeps the assumed usage despite partial reports
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
+    When new schedulers are told of 100 tokens that one other admitted
+    Then 600 of its tokens are admitted at most
+    And its refusals have the reason limit_guessed
+
+  Scenario: A scheduler without the record accepts the report of its predecessor
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
+    When new schedulers are told of 100 tokens that the one before admitted
+    Then 4000 of its tokens are admitted at least
+
+  # Guards against refusing organisations far below their limits for seconds when a scheduler
+  # starts while the store is down. It could not read the record and assumed that each limit
+  # was used up: its predecessor had sent all it knew, but had not held the role for a whole
+  # window, so its report was ignored. 3 to 17 of 46 or 47 requests were refused of an
+  # organisation that requests a tenth of its limit, and 26 of 236 of one that requests half.
+  Scenario Outline: An organisation below its limit gets no refusal while the store is down
+    Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When all VMs restart, and the store goes away as schedulers are <fate> in turn
-    Then no span has more of its tokens run than that
-    And one that asks for a tenth of its limit is refused nothing
-    And one that asks for half of its limit is refused nothing
+    When all VMs restart, and the store goes down as schedulers are <fate> in turn
+    Then no window admits more of its tokens than limit and spare
+    And one that asks for a tenth of its limit gets no refusal
+    And one that asks for half of its limit gets no refusal
 
     Examples:
       | count | fate        |
--- a/tests/coordination/service_queue.feature
+++ b/tests/coordination/service_queue.feature
@@ -1,41 +1,41 @@
-Feature: A new scheduler's desk while gateways still follow the old one
-  Views differ for a second after a VM has died; in that time no lower tier may
-  take a place that a higher one waits for elsewhere.
+Feature: A new scheduler's queue while gateways still follow the old one
+  Views differ for about a second after a VM has died. Meanwhile no lower tier may
+  take a slot that a higher tier waits for at another gateway.
 
   Background:
-    Given a desk that settles for gateways "a" and "b" with 1 free slot
+    Given a service queue that awaits gateways "a" and "b" with 1 free slot
 
   Scenario: A lower tier waits for the gateway that registers late
-    When the desk is asked by "a" for tier 2
-    And the desk's clock moves on by 800 ms
-    And the desk is asked by "b" for tier 0
-    Then the desk has granted "b" only
+    When the queue gets a request from "a" for tier 2
+    And the queue's clock advances by 800 ms
+    And the queue gets a request from "b" for tier 0
+    Then the queue has granted "b" only
 
   Scenario: The highest tier does not wait for the late gateway
-    When the desk is asked by "a" for tier 0
-    And the desk's clock moves on by 400 ms
-    Then the desk has granted "a" only
-
-  Scenario: A lower tier does not wait for ever
-    When the desk is asked by "a" for tier 2
-    And the desk's clock moves on by 2200 ms
-    Then the desk has granted "a" only
-
-  Scenario: Nobody waits once all have registered
-    When the desk is asked by "a" for tier 2
-    And both gateways tell the desk all that they hold
-    Then the desk has granted "a" only
-
-  Scenario: An endpoint that leaves gets nothing when its data centre comes back
-    Given the desk has settled and its endpoint is marked as leaving
-    When the desk is asked by "a" for tier 0
-    And the endpoint's data centre is cut off from the desk and comes back
-    Then the desk has granted nobody else
-
-  Scenario Outline: Suspects are kept apart, so that the next end tells them apart
-    Given a settled desk with <endpoints> endpoints of 4 free slots
-    When 2 suspects and 2 other requests ask the desk
-    Then the desk has granted all 4
+    When the queue gets a request from "a" for tier 0
+    And the queue's clock advances by 400 ms
+    Then the queue has granted "a" only
+
+  Scenario: A lower tier waits for a limited time
+    When the queue gets a request from "a" for tier 2
+    And the queue's clock advances by 2200 ms
+    Then the queue has granted "a" only
+
+  Scenario: Grants start once all gateways have registered
+    When the queue gets a request from "a" for tier 2
+    And both gateways sync all their requests with the queue
+    Then the queue has granted "a" only
+
+  Scenario: A leaving endpoint gets no grant when its data centre comes back
+    Given the queue has settled and its endpoint is marked as leaving
+    When the queue gets a request from "a" for tier 0
+    And the endpoint's data centre is cut off from the queue and comes back
+    Then the queue has granted nobody else
+
+  Scenario Outline: Suspects run on different endpoints, so that a crash identifies one
+    Given a settled service queue with <endpoints> endpoints of 4 free slots
+    When 2 suspects and 2 other requests are submitted
+    Then the queue has granted all 4
     And the suspects run on <apart> endpoints
 
     Examples:
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -1,6 +1,6 @@
-"""A whole region in one process, on a clock that the steps move.
+"""A whole region in one process on a manual clock.
 
-Its gateways run requests and note where each was dispatched.
+Its gateways run requests and record the endpoint of each dispatch.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
         self.requests = {}
         self.order = []
         self.used = {}
-        self.most_used = {}
+        self.max_used = {}
         self.timers = []
         self.run_ms = 100
         self.core = core
         self.known_vms = known_vms
-        self.told_leaving = []
+        self.reported_leaving = []
         self.policy = policy
         self.tree = make_tree(slots)
         self.next_tick_ms = TICK_MS
@@ -81,7 +81,7 @@
             self.policy,
             incarnation=peer.incarnation,
             make_core=self.core,
-            on_endpoint_leaving=self.told_leaving.append,
+            on_endpoint_leaving=self.reported_leaving.append,
             known_vms=self.known_vms,
         )
         self.vms[name] = Vm(peer, transport, membership, coordination)
@@ -160,8 +160,8 @@
         request.dispatches.append(endpoint_id)
         self.order.append(request.handle.request_id)
         self.used[endpoint_id] = self.used.get(endpoint_id, 0) + 1
-        self.most_used[endpoint_id] = max(
-            self.most_used.get(endpoint_id, 0), self.used[endpoint_id]
+        self.max_used[endpoint_id] = max(
+            self.max_used.get(endpoint_id, 0), self.used[endpoint_id]
         )
         try:
             await self.sleep(self.run_ms)
@@ -205,7 +205,7 @@
     async def run_until(self, condition, within_ms=10_000):
         end_ms = self.clock.now_ms() + within_ms
         while not condition():
-            assert self.clock.now_ms() < end_ms, "the condition never held"
+            assert self.clock.now_ms() < end_ms, "condition not met in time"
             await self.run(STEP_MS)
 
     # --- checks -----------------------------------------------------------
@@ -214,7 +214,7 @@
         for vm in self.vms.values():
             yield from vm.coordination.role.service_queues().values()
 
-    def check_nothing_is_left(self):
+    def check_no_request_left(self):
         for service_queue in self.service_queues():
             assert not service_queue.request_table.entries, (
                 service_queue.service,
@@ -225,7 +225,7 @@
 
 
 def make_tree(slots):
-    """Return a tree with service ``pool`` and endpoints ``dc/n``: slots."""
+    """Return a tree with service ``pool``; ``slots`` maps endpoints ``dc/n``."""
     works = {"check": Work("check", "top", 1000)}
     services = {"pool": Service("pool", "team", ServiceKind.ENGINE, works)}
     endpoints = {
@@ -236,7 +236,7 @@
 
 
 def world_of(context):
-    """Return the world, started when first needed."""
+    """Return the world, started on first use."""
     if context.world is None:
         context.world = World(context.names, context.slots, context.policy)
         context.run(context.world.configure())
--- a/tests/steps/coordination_backoff_steps.py
+++ b/tests/steps/coordination_backoff_steps.py
@@ -1,4 +1,4 @@
-"""Steps of tests/coordination/rests.feature."""
+"""Steps of tests/coordination/backoffs.feature."""
 
 from dataclasses import replace
 
@@ -22,7 +22,7 @@
     context.run(world.run(2_000))
 
 
-@when('"{vm}" is asked for {rest_ms:d} ms of rest')
+@when('"{vm}" is told to back off for {rest_ms:d} ms')
 def step_rest(context, vm, rest_ms):
     client = context.world.vms[vm].coordination.client
     client.back_off("pool", ENDPOINT, rest_ms)
@@ -49,7 +49,7 @@
     context.run(context.world.run(ms))
 
 
-@when("the endpoint starts again")
+@when("the endpoint restarts")
 def step_again(context):
     world = context.world
     endpoint = replace(world.tree.endpoints[ENDPOINT], born_ms=7_000)
--- a/tests/steps/coordination_chooser_steps.py
+++ b/tests/steps/coordination_chooser_steps.py
@@ -13,7 +13,7 @@
     context.membership.set({name: Peer(name, 1, "a", "") for name in names})
 
 
-@given("a VM that sees {count:d} VMs for {for_s:d} s and asks for nothing")
+@given("a VM that sees {count:d} VMs for {for_s:d} s without calling its chooser")
 def step_sees(context, count, for_s):
     context.clock = ManualClock()
     context.membership = FakeMembership()
@@ -27,11 +27,11 @@
     _see(context, count)
 
 
-@when("{for_s:d} s go by")
+@when("{for_s:d} s pass")
 def step_time(context, for_s):
     context.clock.advance(for_s * 1000)
 
 
-@then("its part of the VMs is {part:f}")
+@then("its visible share of VMs is {part:f}")
 def step_part(context, part):
     assert abs(context.chooser.visible_share() - part) < 0.001
--- a/tests/steps/coordination_fault_steps.py
+++ b/tests/steps/coordination_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the coordination features: faults, one by one and at random."""
+"""Steps of the coordination features: single faults and random sequences of them."""
 
 import asyncio
 from dataclasses import replace
@@ -23,15 +23,15 @@
 # --- faults -----------------------------------------------------------------
 
 
-@when("the kept messages arrive")
+@when("the held messages arrive")
 def step_release(context):
     world = context.world
-    world.network.kept_kinds = set()
-    world.network.release_kept()
+    world.network.held_kinds = set()
+    world.network.release_held()
     context.run(world.settle())
 
 
-@when("the kept messages of the former scheduler arrive")
+@when("the held messages of the former scheduler arrive")
 def step_release_kept(context):
     world = context.world
     context.given_back = []
@@ -40,17 +40,17 @@
             Withdraw, lambda _, message: context.given_back.extend(message.request_ids)
         )
     network = world.network
-    network.kept = [one for one in network.kept if one[0] == context.former]
-    network.release_kept()
+    network.held = [one for one in network.held if one[0] == context.former]
+    network.release_held()
     context.run(world.run(20))
 
 
-@then("the former scheduler got its slot back")
+@then("the former scheduler got its unused grant back")
 def step_given_back(context):
     assert context.given_back == [context.request.handle.request_id]
 
 
-@when("the second choice loses all others without its view knowing")
+@when("the second choice is cut off from all others with an unchanged view")
 def step_isolate_second(context):
     world = world_of(context)
     others = [name for name in world.vms if name != world.scheduler()]
@@ -64,19 +64,19 @@
         ask(context, context.second, tier=tier)
 
 
-@then("the second choice runs just its share")
+@then("the second choice uses only its share of slots")
 def step_share(context):
     client = context.world.vms[context.second].coordination.client
     assert client.links()["pool"].scheduler == context.second
-    # Six slots for six VMs: one slot in all, not one on every endpoint.
+    # Six slots for six VMs: one slot in total, not one on each endpoint.
     slots = sum(context.slots.values()) // len(context.names)
-    assert sum(context.world.most_used.values()) == slots, context.world.most_used
+    assert sum(context.world.max_used.values()) == slots, context.world.max_used
 
 
-@when("the network is whole again")
-@then("the network is whole again")
+@when("the network works again")
+@then("the network works again")
 def step_whole(context):
-    context.world.network.make_whole()
+    context.world.network.restore()
 
 
 @when("the coordinated clock moves by {for_ms:d} ms")
@@ -109,7 +109,7 @@
     step_views(context)
 
 
-@when("the views tell it")
+@when("the views are updated")
 def step_views(context):
     context.world.share_reachable_views()
     context.run(context.world.run(50))
@@ -127,7 +127,7 @@
     context.run(world.settle())
 
 
-@then("the asking gateway has a grant in its hands and uses it not")
+@then("the asking gateway was granted a slot and does not use it")
 def step_grant_unused(context):
     assert context.last.handle.request_id in context.granted, context.granted
     assert not context.last.dispatches, context.last
@@ -169,7 +169,7 @@
     raise AssertionError("the role never moved")
 
 
-@when("the role moves while the former scheduler lives on")
+@when("the role moves while the former scheduler keeps running")
 def step_move(context):
     world = context.world
     former = context.former = world.scheduler()
@@ -187,14 +187,14 @@
     world.cut(side, rest)
 
 
-@when('"{name}" loses all others without its view knowing')
+@when('"{name}" is cut off from all others with an unchanged view')
 def step_isolate(context, name):
     world = world_of(context)
     assert world.scheduler() != name, "choose another VM for this scenario"
     world.cut([name], [other for other in world.vms if other != name])
 
 
-@when('"{name}" has to go alone')
+@when('"{name}" falls back to its local queue')
 def step_alone(context, name):
     world = context.world
     client = world.vms[name].coordination.client
@@ -211,7 +211,7 @@
     context.run(world.run(1000))
 
 
-# --- any schedule of faults -------------------------------------------------
+# --- random sequences of faults ---------------------------------------------
 
 _NAMES = ["a-1", "a-2", "b-1", "b-2", "c-1"]
 
@@ -232,7 +232,7 @@
 )
 
 
-def _act(world, action, subject):
+def _apply_action(world, action, subject):
     if action in ("freeze", "thaw"):
         world.vms[subject].frozen = action == "freeze"
     elif action == "cut":
@@ -252,31 +252,31 @@
             request.ended = True
 
 
-async def _live_through(actions, seed, loss, delay_ms):
+async def _run_faults(actions, seed, loss, delay_ms):
     world = World(_NAMES, {"a/1": 1, "b/1": 2, "c/1": 1}, seed=seed)
     world.network.loss = loss
     world.network.duplication = loss
-    world.network.most_delay_ms = delay_ms
+    world.network.max_delay_ms = delay_ms
     await world.configure()
     for action, subject in actions:
         if action == "restart":
             await world.restart(subject)
-        _act(world, action, subject)
+        _apply_action(world, action, subject)
         await world.run(int(subject) if action == "wait" else 20)
     for vm in world.vms.values():
         vm.frozen = False
     world.network.cuts.clear()
-    world.network.make_whole()
+    world.network.restore()
     world.share_view()
     await world.run_until(lambda: not in_flight(world), 30_000)
     await world.run(12_000)
     for request in world.requests.values():
         ran_once = len(request.dispatches) == 1
         assert ran_once or request.task.cancelled(), request
-    world.check_nothing_is_left()
+    world.check_no_request_left()
 
 
-@then("whatever hypothesis does to the region, each request ends exactly once")
+@then("under faults generated by hypothesis, each request ends exactly once")
 def step_hypothesis(context):
     @settings(
         max_examples=40,
@@ -292,7 +292,7 @@
         st.sampled_from([0, 10, 60]),
     )
     def live(actions, seed, loss, delay_ms):
-        asyncio.run(_live_through(actions, seed, loss, delay_ms))
+        asyncio.run(_run_faults(actions, seed, loss, delay_ms))
 
     live()
 
@@ -306,7 +306,7 @@
     name = world.scheduler()
     context.run(world.restart(name))
     context.run(world.run(50))
-    # It sees them before they see its new start and register with it.
+    # It sees the others before they see its new incarnation and register with it.
     world.vms[name].membership.set(dict(world.peers))
     for _ in range(count):
         ask(context, name, tier=tier)
--- a/tests/steps/coordination_overload_steps.py
+++ b/tests/steps/coordination_overload_steps.py
@@ -14,7 +14,7 @@
 LIMITED = "limited"
 
 
-@when("no coordinated VM hears any other without its view knowing")
+@when("all coordinated VMs are cut off from each other with unchanged views")
 def step_all_isolated(context):
     world = world_of(context)
     world.network.cuts |= {frozenset(pair) for pair in combinations(world.vms, 2)}
@@ -30,13 +30,13 @@
 
 @then("nearly every coordinated slot was used at some time")
 def step_nearly_all_used(context):
-    # The scheduler's own part stays free: it asked for nothing.
-    used = sum(context.world.most_used.values())
-    assert used >= sum(context.slots.values()) - 1, context.world.most_used
+    # The scheduler's own slots stay free, as its gateway has no requests.
+    used = sum(context.world.max_used.values())
+    assert used >= sum(context.slots.values()) - 1, context.world.max_used
 
 
 @when(
-    "the scheduler stands still for {still_ms:d} ms in every {period_ms:d} ms, "
+    "the scheduler is paused for {still_ms:d} ms in every {period_ms:d} ms, "
     "{times:d} times, under load"
 )
 def step_stands_still(context, still_ms, period_ms, times):
@@ -61,7 +61,7 @@
     assert all(number < times for number in context.moved), context.moved
 
 
-@given("the coordinated VMs carry so many requests a second: {pairs}")
+@given("the coordinated VMs have these capacities in requests per second: {pairs}")
 def step_carry(context, pairs):
     world = world_of(context)
     for pair in pairs.split():
@@ -97,13 +97,13 @@
     context.run(observe())
 
 
-@then("the scheduler has heard of it within {within_ms:d} ms")
+@then("the scheduler is notified within {within_ms:d} ms")
 def step_heard_within(context, within_ms):
     context.run(context.world.run(within_ms))
     assert [one.ttft_ms for one in context.heard] == [30], context.heard
 
 
-@when("a VM is suspected and heard again {after}")
+@when("a VM is suspected and replies again {after}")
 def step_suspected(context, after):
     world = world_of(context)
     context.chooser = world.vms["a-1"].coordination._chooser
@@ -119,12 +119,12 @@
     context.chooser.note_alive("b-1")
 
 
-@then("it is suspected next time after {times:d} times the silence")
+@then("its next suspicion takes {times:d} times the silence")
 def step_patience(context, times):
     assert context.chooser.silence_factor("b-1") == times
 
 
-@when("all coordinated VMs have suspected the scheduler {times:d} times in vain")
+@when("all coordinated VMs have suspected the scheduler {times:d} times by mistake")
 def step_suspected_in_vain(context, times):
     world = world_of(context)
     holder = world.scheduler()
@@ -154,7 +154,7 @@
 
 @given(
     "an organisation that may use {tokens:d} tokens in {window_ms:d} ms, "
-    "and {spare:d} beside"
+    "plus {spare:d} spare"
 )
 def step_limited(context, tokens, window_ms, spare):
     world = context.world
@@ -166,8 +166,7 @@
 
 
 @when(
-    "none hears any other and each is asked for {count:d} requests of {tokens:d} "
-    "tokens of it"
+    "none reaches any other and each gets {count:d} requests of {tokens:d} tokens of it"
 )
 def step_all_ask(context, count, tokens):
     world = context.world
@@ -207,11 +206,11 @@
 
 
 @then(
-    "those that went alone let {most:d} tokens of it pass at most, and {least:d} "
+    "those that fell back admitted {most:d} tokens of it at most, and {least:d} "
     "at least"
 )
 def step_passed(context, most, least):
-    # A VM that takes the role reads the record of those before it, not played here.
+    # A VM that takes the role reads its predecessors' record, not simulated here.
     alone = context.world.vms.keys() - context.schedulers
     assert len(alone) > len(context.schedulers)
     granted = [
--- a/tests/steps/coordination_report_steps.py
+++ b/tests/steps/coordination_report_steps.py
@@ -58,7 +58,7 @@
 
 
 def _start_engine(context, load, events, gate=None):
-    # The task ends with the scenario, which cancels what is left on its loop.
+    # The scenario cancels the remaining tasks of its loop at its end.
     started = context.loop.create_future()
     task = context.loop.create_task(_serve(started, load, events, gate))
     context.engines = [*getattr(context, "engines", ()), task]
@@ -110,7 +110,7 @@
 
 
 class _CountingGate:
-    """Never opens; counts who waits."""
+    """A gate that never opens and counts its waiters."""
 
     def __init__(self):
         self.waits = 0
@@ -120,7 +120,7 @@
         await asyncio.Event().wait()
 
 
-@when("the scheduler polls its engines in rounds until {count:d} reports came")
+@when("the scheduler polls its engines in rounds until {count:d} reports have arrived")
 def step_rounds(context, count):
     service_queue = scheduler_queue(context.world)
     options = PollerOptions(lambda each: each.address, lambda each: None, 10.0)
@@ -134,7 +134,7 @@
     context.run(poll())
 
 
-@then("the frozen engine was asked once meanwhile")
+@then("the frozen engine was polled once meanwhile")
 def step_asked_once(context):
     assert context.gate.waits == 1, context.gate.waits
 
@@ -157,10 +157,10 @@
     assert [(e.sequence, e.prefix_hash) for e in core.events] == [(4, 77)]
 
 
-@then("the engine counts as leaving and membership was told")
+@then("the engine is marked as leaving and membership was notified")
 def step_told(context):
     assert scheduler_queue(context.world).core.leaving == {"a/1"}
-    assert context.world.told_leaving == ["a/1"]
+    assert context.world.reported_leaving == ["a/1"]
 
 
 @then("the core got no report")
--- a/tests/steps/coordination_service_queue_steps.py
+++ b/tests/steps/coordination_service_queue_steps.py
@@ -22,7 +22,9 @@
 TICK_MS = 50
 
 
-@given('a desk that settles for gateways "{one}" and "{two}" with {slots:d} free slot')
+@given(
+    'a service queue that awaits gateways "{one}" and "{two}" with {slots:d} free slot'
+)
 def step_service_queue(context, one, two, slots):
     context.clock = ManualClock(1000.0)
     context.granted = []
@@ -46,33 +48,33 @@
     context.service_queue = service_queue
 
 
-@when('the desk is asked by "{gateway}" for tier {tier:d}')
+@when('the queue gets a request from "{gateway}" for tier {tier:d}')
 def step_ask(context, gateway, tier):
     handle = Handle(f"r-{gateway}", "chat", "w", tier, "o", "t", 9000, 10, 10)
     context.service_queue.receive(gateway, Submit(1, waiting=(handle,)))
     context.service_queue.tick()
 
 
-@when("both gateways tell the desk all that they hold")
+@when("both gateways sync all their requests with the queue")
 def step_register(context):
     context.service_queue.receive("a", Sync(1, "chat", waiting=("r-a",), whole=True))
     context.service_queue.receive("b", Sync(1, "chat", whole=True))
 
 
-@when("the desk's clock moves on by {ms:d} ms")
+@when("the queue's clock advances by {ms:d} ms")
 def step_advance(context, ms):
     for _ in range(ms // TICK_MS):
         context.clock.advance(TICK_MS)
         context.service_queue.tick()
 
 
-@then('the desk has granted "{gateway}" only')
+@then('the queue has granted "{gateway}" only')
 def step_granted(context, gateway):
     assert context.granted == [gateway], context.granted
 
 
 @given(
-    "the desk's queue holds 1 request, its slot is taken and "
+    "the queue may hold 1 request, its slot is taken and "
     '"{gateway}" waits in tier {tier:d}'
 )
 def step_full(context, gateway, tier):
@@ -84,40 +86,40 @@
     assert context.granted == [gateway]
 
 
-@when("the desk settles anew")
+@when("the queue settles again")
 def step_settle(context):
     context.service_queue.settle(("a", "b"))
 
 
-@when("the desk's VM was paused for {ms:d} ms")
+@when("the queue's VM was paused for {ms:d} ms")
 def step_paused(context, ms):
     context.service_queue.settle(("a", "b"))
     context.service_queue.account_for_pause(ms)
 
 
-@when("the desk sees its first request end")
+@when("the queue's first request ends")
 def step_first_ends(context):
     events = (StreamEvent("first", "e1", ttft_ms=5.0, finished=True),)
     context.service_queue.receive("a", Progress(1, events))
     context.service_queue.tick()
 
 
-@then('the desk has granted "{gateway}" twice in all')
+@then('the queue has granted "{gateway}" twice in all')
 def step_twice(context, gateway):
     assert context.granted == [gateway, gateway], context.granted
 
 
-@then('the desk has refused "{gateway}" only')
+@then('the queue has refused "{gateway}" only')
 def step_refused_only(context, gateway):
     assert context.refused == [gateway], context.refused
 
 
-@then("the desk has refused nobody")
+@then("the queue has refused nobody")
 def step_nobody(context):
     assert context.refused == [], context.refused
 
 
-@given("the desk has settled and its endpoint is marked as leaving")
+@given("the queue has settled and its endpoint is marked as leaving")
 def step_leaving(context):
     context.service_queue.receive("a", Sync(1, "chat", whole=True))
     context.service_queue.receive("b", Sync(1, "chat", whole=True))
@@ -132,7 +134,7 @@
     assert context.granted == ["b"]
 
 
-@when("the endpoint's data centre is cut off from the desk and comes back")
+@when("the endpoint's data centre is cut off from the queue and comes back")
 def step_cut(context):
     endpoint = context.tree.endpoints["e1"]
     cut = {**context.tree.endpoints, "e1": replace(endpoint, leaving=True)}
@@ -141,12 +143,12 @@
     context.service_queue.tick()
 
 
-@then("the desk has granted nobody else")
+@then("the queue has granted nobody else")
 def step_granted_nobody(context):
     assert context.granted == ["b"], context.granted
 
 
-@given("a settled desk with {count:d} endpoints of {slots:d} free slots")
+@given("a settled service queue with {count:d} endpoints of {slots:d} free slots")
 def step_settled(context, count, slots):
     context.placed = {}
 
@@ -164,7 +166,7 @@
         f"e{number}": replace(endpoint, endpoint_id=f"e{number}")
         for number in range(count)
     }
-    # Placement alone would give all requests to the fast one.
+    # Without the spreading of suspects all requests would run on the fast endpoint.
     endpoints["e0"] = replace(
         endpoint, decode_tokens_per_s=4000.0, prefill_tokens_per_s=400_000.0
     )
@@ -173,7 +175,7 @@
     context.service_queue = service_queue
 
 
-@when("{suspects:d} suspects and {others:d} other requests ask the desk")
+@when("{suspects:d} suspects and {others:d} other requests are submitted")
 def step_suspects(context, suspects, others):
     for number in range(suspects + others):
         name = f"s{number}" if number < suspects else f"o{number}"
@@ -183,7 +185,7 @@
         context.service_queue.receive("a", Submit(1, waiting=(handle,)))
 
 
-@then("the desk has granted all {count:d}")
+@then("the queue has granted all {count:d}")
 def step_all_granted(context, count):
     assert len(context.placed) == count, context.placed
 
--- a/tests/steps/coordination_steps.py
+++ b/tests/steps/coordination_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the coordination features: asking, and what must hold."""
+"""Steps of the coordination features: requests and expectations."""
 
 from dataclasses import replace
 
@@ -89,23 +89,25 @@
     world_of(context).network.dropped_kinds = {kind}
 
 
-@given('messages of kind "{kind}" are kept back')
+@given('messages of kind "{kind}" are held back')
 def step_kept(context, kind):
-    world_of(context).network.kept_kinds = {kind}
+    world_of(context).network.held_kinds = {kind}
 
 
 @given(
-    "a network that loses {loss:d} %, doubles {doubled:d} % "
+    "a network that loses {loss:d} %, duplicates {doubled:d} % "
     "and delays by up to {delay:d} ms"
 )
 def step_faulty(context, loss, doubled, delay):
     network = world_of(context).network
     network.loss = loss / 100
     network.duplication = doubled / 100
-    network.most_delay_ms = delay
+    network.max_delay_ms = delay
 
 
-@given('all coordinated endpoints but "{one}" are leaving, as the gateways know')
+@given(
+    'all coordinated endpoints but "{one}" are marked leaving except on the scheduler'
+)
 def step_leaving(context, one):
     world = world_of(context)
     scheduler = world.scheduler()
@@ -115,21 +117,21 @@
                 vm.coordination.mark_leaving(endpoint_id)
 
 
-@given("all coordinated endpoints are leaving, as all VMs know")
+@given("all coordinated endpoints are marked leaving on all VMs")
 def step_all_leaving(context):
     for vm in world_of(context).vms.values():
         for endpoint_id in context.slots:
             vm.coordination.mark_leaving(endpoint_id)
 
 
-@given("all coordinated endpoints have returned, as all VMs know")
+@given("all coordinated endpoints have their marks removed on all VMs")
 def step_all_returned(context):
     for vm in world_of(context).vms.values():
         for endpoint_id in context.slots:
             vm.coordination.mark_returned(endpoint_id)
 
 
-# --- asking -----------------------------------------------------------------
+# --- requests ---------------------------------------------------------------
 
 
 @when('"{who}" asks for {count:d} slots of tier {tier:d}')
@@ -164,7 +166,7 @@
     ask(context, name, service="nothing")
 
 
-@when('the scheduler refuses a request of "{name}" with {ms:d} ms to wait')
+@when('the scheduler refuses a request of "{name}" with {ms:d} ms retry delay')
 def step_scheduler_refuses(context, name, ms):
     world = world_of(context)
     request = ask(context, name)
@@ -185,7 +187,7 @@
     context.request.ended = True
 
 
-# --- what holds -------------------------------------------------------------
+# --- expectations -----------------------------------------------------------
 
 
 @then("{count:d} coordinated requests have a slot before the clock moves")
@@ -204,8 +206,8 @@
 
 @then("no coordinated endpoint ever ran more than its slots")
 def step_not_crowded(context):
-    for endpoint_id, most in context.world.most_used.items():
-        assert most <= context.slots[endpoint_id], context.world.most_used
+    for endpoint_id, most in context.world.max_used.items():
+        assert most <= context.slots[endpoint_id], context.world.max_used
 
 
 @then("every request of tier {high:d} ran before those of tier {low:d}")
@@ -217,18 +219,18 @@
     assert last_high < first_low, tiers
 
 
-@then("no scheduler holds anything in the end")
+@then("no scheduler holds any request in the end")
 def step_nothing_left(context):
     step_nothing_left_after(context, 12_000)
 
 
-@then("no scheduler holds anything after {for_ms:d} ms")
+@then("no scheduler holds any request after {for_ms:d} ms")
 def step_nothing_left_after(context, for_ms):
     world = context.world
-    world_of(context).network.make_whole()
+    world_of(context).network.restore()
     context.run(world.run_until(lambda: not in_flight(world), 30_000))
     context.run(world.run(for_ms))
-    world.check_nothing_is_left()
+    world.check_no_request_left()
 
 
 @then('the last coordinated request was refused as "{reason}"')
@@ -238,7 +240,7 @@
     assert result.reason == reason, result
 
 
-@then("the refusal says that it did not run and when to come back")
+@then("the refusal has the outcome not_run and a retry delay")
 def step_not_run(context):
     result = context.request.result
     assert result.outcome == Outcome.NOT_RUN
@@ -267,16 +269,16 @@
     assert not service_queue.core.queue
 
 
-@then("the scheduler heard a budget that had shrunk")
+@then("the scheduler received a smaller time budget")
 def step_shrunk(context):
     waits = context.world.requests[context.request.handle.request_id].handle
     assert context.heard_budgets, "no submit was seen"
     assert all(budget < waits.budget_ms for budget in context.heard_budgets)
 
 
-@when("the network is whole again and submits are noted")
+@when("the network works again and submits are recorded")
 def step_noted(context):
-    world_of(context).network.make_whole()
+    world_of(context).network.restore()
     context.heard_budgets = []
     for vm in context.world.vms.values():
         vm.transport.subscribe(
@@ -299,7 +301,7 @@
     assert followed <= set(world.vms), followed
 
 
-@then("just that VM holds the coordinated role")
+@then("only that VM holds the scheduler role")
 def step_one_role(context):
     world = context.world
     holders = [
@@ -356,7 +358,7 @@
         for name, vm in world.vms.items()
     }
     held = {
-        name: set(service_queue.core.slots) - service_queue.core.out
+        name: set(service_queue.core.slots) - service_queue.core.unavailable
         for name, service_queue in service_queues.items()
         if service_queue
     }
@@ -376,7 +378,7 @@
     assert any(entry.endpoint_id for entry in known.values())
 
 
-@then("no message went between coordinated VMs")
+@then("no message was sent between coordinated VMs")
 def step_no_message(context):
     assert context.world.network.sent == 0
 
