--- a/tests/steps/clock_steps.py
+++ b/tests/steps/clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of clock.feature; those on a desk are in coordination_service_queue_steps."""
+"""Steps of clock.feature; those of queues are in coordination_service_queue_steps."""
 
 import asyncio
 import time
--- a/tests/steps/coordination_overload_steps.py
+++ b/tests/steps/coordination_overload_steps.py
@@ -120,7 +120,7 @@
 
 
 @then("its next suspicion takes {times:d} times the silence")
-def step_patience(context, times):
+def step_silence_factor(context, times):
     assert context.chooser.silence_factor("b-1") == times
 
 
