--- a/src/pomelolane/coordination/chooser.py
+++ b/src/pomelolane/coordination/chooser.py
@@ -89,8 +89,8 @@
         gone = self.scheduler(service)
         peers = self.view().peers
         live = [vm for vm in peers if vm != gone and not self.is_suspected(vm)]
-        able = [vm for vm in live if self._is_eligible(service, vm)]
-        return choose(service, self._strongest(able)) if able else ""
+        eligible = [vm for vm in live if self._is_eligible(service, vm)]
+        return choose(service, self._strongest(eligible)) if eligible else ""
 
     def standbys(self, service: str) -> frozenset[str]:
         """Return the VMs that take over if the scheduler or a data centre is lost.
@@ -235,8 +235,8 @@
             return self._hints[service][0]
         peers = self.view().peers
         live = [vm for vm in peers if not self.is_suspected(vm)]
-        able = [vm for vm in live if self._is_eligible(service, vm)]
-        return choose(service, self._strongest(able) or live or [self._vm_id])
+        eligible = [vm for vm in live if self._is_eligible(service, vm)]
+        return choose(service, self._strongest(eligible) or live or [self._vm_id])
 
     def _strongest(self, vm_ids: list[str]) -> list[str]:
         """Return the VMs whose capacity is close to that of the strongest."""
--- a/src/pomelolane/coordination/service_queue.py
+++ b/src/pomelolane/coordination/service_queue.py
@@ -123,7 +123,7 @@
         return replace(tree, endpoints=endpoints)
 
     def mark_leaving(self, endpoint_id: str) -> None:
-        """Grant nothing more to an endpoint, whatever the tree says."""
+        """Stop granting an endpoint, whatever the settings tree declares."""
         self._leaving.add(endpoint_id)
         self._mark_leaving(endpoint_id)
 
