--- a/src/pomelolane/rollouts/__init__.py
+++ b/src/pomelolane/rollouts/__init__.py
@@ -1,4 +1,4 @@
-"""Moves a service to a new version of its endpoints on an operator's order, or back."""
+"""Rolls a service out to a new version of its endpoints, with automatic rollback."""
 
 from pomelolane.rollouts.judge import VersionAnswer, VersionJudge
 from pomelolane.rollouts.order import (
--- a/src/pomelolane/rollouts/metrics.py
+++ b/src/pomelolane/rollouts/metrics.py
@@ -1,4 +1,4 @@
-"""What a trial shows to operators as figures."""
+"""Prometheus metrics of rollout trials."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 )
 
 
-def show(order: RolloutOrder, trial: Trial) -> None:
-    """Show the figures of a trial."""
+def publish(order: RolloutOrder, trial: Trial) -> None:
+    """Publish the counters of a trial."""
     labels = {"service": order.service, "version": order.to_version}
     _REQUESTS.set(labels | {"kind": "arrived"}, trial.arrived)
     _REQUESTS.set(labels | {"kind": "exposed"}, trial.exposed)
--- a/src/pomelolane/rollouts/order.py
+++ b/src/pomelolane/rollouts/order.py
@@ -1,4 +1,4 @@
-"""Orders to move a service to a new version, and what became of them."""
+"""Rollout orders of operators, and their recorded states."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RolloutState(Enum):
-    """What operators are told of an order."""
+    """State of an order as shown to operators."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -16,19 +16,19 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing follows it."""
+        """Whether no other state can follow."""
         return self is not RolloutState.RUNNING
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutOrder:
-    """An operator's order.
+    """An operator's order to move a service to a new version.
 
     Attributes:
-        service: The service.
-        to_version: Version to move it to.
-        duration_ms: Time allowed from the order on.
-        number: Tells orders of the same service apart, also such that ask for the same.
+        service: Name of the service.
+        to_version: Version to move the service to.
+        duration_ms: Time allowed, counted from the order.
+        number: Increases with each order of a service, also if its contents repeat.
     """
 
     service: str
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """What is on record of an order.
+    """Recorded state of an order.
 
     Attributes:
-        number: The order's number.
-        state: Its state.
-        ordered_ms: When it was first seen, on the record's clock.
+        number: Number of the order.
+        state: State of the order.
+        ordered_ms: When the order was first seen, on the record's clock.
     """
 
     number: int
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutBounds:
-    """What a version that is not proved may get.
+    """Limits on the requests that go to a version that is not verified yet.
 
     Attributes:
-        exposure_share: Part of a service's requests that it gets at most.
-        exposure_slack: Requests that it may get beside that.
+        exposure_share: Highest share of a service's requests.
+        exposure_slack: Number of requests allowed in addition to the share.
     """
 
     exposure_share: float = 0.1
@@ -66,24 +66,24 @@
 
 
 class RolloutRecord(Protocol):
-    """Where the states of orders are kept."""
+    """Storage for the states of orders, shared by all VMs."""
 
     def now_ms(self) -> float:
-        """Return the record's clock, which is the same for all VMs."""
+        """Return the time of a clock that all VMs share."""
 
     async def load(self, service: str) -> RolloutStatus | None:
-        """Return what stands of a service's last order, None for nothing.
+        """Return the recorded state of a service's last order, None without one.
 
         Raises:
-            PlatformError: It cannot be read.
+            PlatformError: The record cannot be read.
         """
 
     async def save(self, order: RolloutOrder, status: RolloutStatus) -> bool:
-        """Replace what was loaded or saved last, unless another VM has done so.
+        """Replace the state last loaded or saved, unless another VM has replaced it.
 
         Returns:
-            Whether it stands now.
+            Whether the new state was saved.
 
         Raises:
-            PlatformError: It may not have been replaced.
+            PlatformError: It is unknown whether the state was saved.
         """
--- a/src/pomelolane/rollouts/rollouts.py
+++ b/src/pomelolane/rollouts/rollouts.py
@@ -1,8 +1,8 @@
-"""One VM's part in roll-outs: which endpoints it may use, and the trials it holds.
+"""Rollouts on one VM: which endpoints it may use, and the trials it runs.
 
-Every VM knows the orders and keeps new requests from a version that is not proved. The
-service's scheduler alone tries it, gives the verdict and records it; one that starts
-later finds the verdict there.
+Every VM knows the orders and sends no requests to a version that is not verified. Only
+the scheduler of the service runs the trial, decides on the version and records the
+verdict. VMs that start later read the verdict from the record.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
     from pomelolane.model import Endpoint
     from pomelolane.rollouts.order import RolloutBounds, RolloutRecord
 
-TICK_S = 0.05
-"""How often trials go on."""
+TICK_INTERVAL_S = 0.05
+"""Interval between updates of the trials."""
 
-LAPSES_AFTER_MS = 10_000.0
-"""Time after an order's end from which on a VM that knows no state of it lets it be: a
-version that was rolled back has no endpoints then, and others must not be kept from
-work for an order that was carried out long ago."""
+EXPIRY_DELAY_MS = 10_000.0
+"""Time after the end of an order at which a VM that does not know its state ignores it.
+By then a version that was rolled back has no endpoints, and an order that was completed
+long ago must not block endpoints."""
 
-PAUSE_S = 0.2
-"""Time between two tries to read or write the record."""
+RETRY_DELAY_S = 0.2
+"""Delay before another attempt to read or write the record."""
 
-_PHASES = {
+_PHASE_BY_STATE = {
     RolloutState.RUNNING: Phase.TRYING,
     RolloutState.COMPLETED: Phase.COMPLETED,
     RolloutState.ROLLED_BACK: Phase.ROLLED_BACK,
 }
-_FINAL = {
+_FINAL_STATE_BY_PHASE = {
     Phase.COMPLETED: RolloutState.COMPLETED,
     Phase.ROLLED_BACK: RolloutState.ROLLED_BACK,
 }
@@ -49,15 +49,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutFigures:
-    """What operators may want to see of an order.
+    """Statistics of an order, for operators.
 
     Attributes:
-        service: The service.
-        to_version: Version to move it to.
-        phase: Where it stands for this VM.
-        arrived: Requests for the service under this scheduler.
-        exposed: Those that the new version got.
-        bad_answers: Its answers with a sign of badness.
+        service: Name of the service.
+        to_version: Version to move the service to.
+        phase: Phase of the order on this VM.
+        arrived: Requests for the service since this scheduler started the trial.
+        exposed: Number of those sent to the new version.
+        bad_answers: Answers of the new version with a symptom.
     """
 
     service: str
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Rollout:
-    """An order as this VM knows it."""
+    """State of an order on this VM."""
 
     order: RolloutOrder
     first_seen_ms: float
@@ -79,26 +79,26 @@
     trial: Trial | None = None
     core: object = None
     recorded: Phase | None = None
-    old: frozenset[str] = frozenset()
-    has_lapsed: bool = False
-    work: asyncio.Task[None] | None = None
+    old_endpoints: frozenset[str] = frozenset()
+    has_expired: bool = False
+    task: asyncio.Task[None] | None = None
 
-    def lapses_ms(self) -> float:
-        """Return when the order is let be where nothing is known of it."""
-        return self.first_seen_ms + self.order.duration_ms + LAPSES_AFTER_MS
+    def expires_ms(self) -> float:
+        """Return the time at which the order is ignored if its state is unknown."""
+        return self.first_seen_ms + self.order.duration_ms + EXPIRY_DELAY_MS
 
 
 class Rollouts:
-    """Knows the orders of all services.
+    """Tracks the orders of all services and runs their trials.
 
     Args:
-        bounds: What a version that is not proved may get.
-        record: Where states are kept.
-        coordination: This VM's part in scheduling.
-        listed: Returns the endpoints as they are listed now.
+        bounds: Limits for a version that is not verified.
+        record: Storage for the states of orders.
+        coordination: Scheduling on this VM.
+        listed_endpoints: Returns the currently listed endpoints.
 
     Attributes:
-        on_change: Called where other endpoints may be used than before.
+        on_change: Called when the set of usable endpoints may have changed.
     """
 
     def __init__(
@@ -106,26 +106,26 @@
         bounds: RolloutBounds,
         record: RolloutRecord,
         coordination: Coordination,
-        listed: Callable[[], Mapping[str, Endpoint]],
+        listed_endpoints: Callable[[], Mapping[str, Endpoint]],
     ) -> None:
         self._bounds = bounds
         self._record = record
         self._coordination = coordination
-        self._listed = listed
+        self._listed_endpoints = listed_endpoints
         self._rollouts: dict[str, _Rollout] = {}
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _do_nothing
 
     # --- orders ---------------------------------------------------------------
 
     def take(self, orders: Iterable[RolloutOrder]) -> None:
-        """Adopt orders; one that is known stays as it is."""
+        """Adopt new orders; orders that are already known stay unchanged."""
         has_new = False
         for order in orders:
-            known = self._rollouts.get(order.service)
-            if known is not None and known.order.number >= order.number:
+            current = self._rollouts.get(order.service)
+            if current is not None and current.order.number >= order.number:
                 continue
-            if known is not None:
-                self._let_go(known)
+            if current is not None:
+                self._cancel(current)
             self._rollouts[order.service] = _Rollout(order, self._record.now_ms())
             has_new = True
             log_event(
@@ -138,84 +138,86 @@
             self.on_change()
 
     def usable(self, endpoints: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
-        """Return endpoints, those marked as leaving that must get no new requests."""
-        barred = set()
+        """Return the endpoints, with blocked ones marked as leaving."""
+        blocked = set()
         for rollout in self._rollouts.values():
             service = rollout.order.service
             own = {n: one for n, one in endpoints.items() if one.service == service}
             if rollout.trial is not None:
                 rollout.trial.configure(own)
-            barred |= _barred(rollout, own)
+            blocked |= _blocked_endpoints(rollout, own)
         return {
-            name: replace(one, leaving=True) if name in barred else one
+            name: replace(one, leaving=True) if name in blocked else one
             for name, one in endpoints.items()
         }
 
     def figures(self) -> list[RolloutFigures]:
-        """Return what operators may want to see."""
+        """Return statistics of all orders, for operators."""
         return [_figures(one) for one in self._rollouts.values()]
 
-    # --- life -------------------------------------------------------------------
+    # --- trials -------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Hold the trials of the services that this VM schedules, until cancelled."""
+        """Run the trials of the services that this VM schedules, until cancelled."""
         try:
             while True:
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(TICK_INTERVAL_S)
                 self.tick()
         finally:
             for rollout in self._rollouts.values():
-                self._let_go(rollout)
+                self._cancel(rollout)
 
     def tick(self) -> None:
-        """Take up, go on with and leave trials."""
+        """Start, continue or abandon trials."""
         for rollout in self._rollouts.values():
             self._tick(rollout)
 
     def _tick(self, rollout: _Rollout) -> None:
         desk = self._coordination.role.desk(rollout.order.service)
         if desk is None:
-            self._leave(rollout)
-            self._let_lapse(rollout)
+            self._abandon_trial(rollout)
+            self._expire(rollout)
             return
         if rollout.core is not desk.core:
-            self._leave(rollout)
+            self._abandon_trial(rollout)
             rollout.core = desk.core
         if rollout.trial is None:
             if rollout.phase is Phase.UNKNOWN:
-                self._start(rollout, self._take_up(rollout))
+                self._start_record_task(rollout, self._load_or_start(rollout))
             elif rollout.recorded is None:
-                self._start(rollout, self._save(rollout, rollout.phase))
+                self._start_record_task(rollout, self._save(rollout, rollout.phase))
             return
         desk.core.trial = rollout.trial
         rollout.trial.tick(self._record.now_ms())
-        metrics.show(rollout.order, rollout.trial)
-        self._follow(rollout, rollout.trial)
+        metrics.publish(rollout.order, rollout.trial)
+        self._sync_with_trial(rollout, rollout.trial)
 
-    def _let_lapse(self, rollout: _Rollout) -> None:
-        if not rollout.has_lapsed and self._record.now_ms() >= rollout.lapses_ms():
-            rollout.has_lapsed = True
+    def _expire(self, rollout: _Rollout) -> None:
+        if not rollout.has_expired and self._record.now_ms() >= rollout.expires_ms():
+            rollout.has_expired = True
             self.on_change()
 
-    def _follow(self, rollout: _Rollout, trial: Trial) -> None:
-        """Bring the VM in line with the trial, and the record with both."""
+    def _sync_with_trial(self, rollout: _Rollout, trial: Trial) -> None:
+        """Take over the phase of the trial and record final states."""
         if trial.phase is not rollout.phase:
-            self._enter(rollout, trial.phase)
+            self._enter_phase(rollout, trial.phase)
         now_ms = self._record.now_ms()
-        if trial.is_due(now_ms):
-            self._start(rollout, self._save(rollout, Phase.COMPLETED))
-        elif trial.phase is not rollout.recorded and trial.phase in _FINAL:
-            self._start(rollout, self._save(rollout, trial.phase))
-
-    def _enter(self, rollout: _Rollout, phase: Phase) -> None:
+        if trial.should_complete(now_ms):
+            self._start_record_task(rollout, self._save(rollout, Phase.COMPLETED))
+        elif (
+            trial.phase is not rollout.recorded and trial.phase in _FINAL_STATE_BY_PHASE
+        ):
+            self._start_record_task(rollout, self._save(rollout, trial.phase))
+
+    def _enter_phase(self, rollout: _Rollout, phase: Phase) -> None:
         rollout.phase = phase
         trial = rollout.trial
         if phase is Phase.MOVING:
             version = rollout.order.to_version
             service = rollout.order.service
-            rollout.old = frozenset(
+            rollout.old_endpoints = frozenset(
                 name
-                for name, one in self._listed().items()
+                for name, one in self._listed_endpoints().items()
                 if one.service == service and one.version != version
             )
         log_event(
@@ -231,88 +233,90 @@
         )
         self.on_change()
 
-    def _start(self, rollout: _Rollout, work: object) -> None:
-        """Begin a read or write of the record, unless one is on its way."""
-        if rollout.work is not None and not rollout.work.done():
+    def _start_record_task(self, rollout: _Rollout, work: object) -> None:
+        """Start a read or write of the record, unless one is in progress."""
+        if rollout.task is not None and not rollout.task.done():
             work.close()
             return
-        rollout.work = asyncio.get_running_loop().create_task(work)
+        rollout.task = asyncio.get_running_loop().create_task(work)
 
     def _end_trial(self, rollout: _Rollout) -> None:
-        """Judge no more answers."""
+        """Stop the trial; no more answers are judged."""
         rollout.trial = None
         if rollout.core is not None:
             rollout.core.trial = None
 
-    def _leave(self, rollout: _Rollout) -> None:
-        """Leave a trial to the next scheduler; a final state stays known."""
-        was_trying = rollout.trial is not None
+    def _abandon_trial(self, rollout: _Rollout) -> None:
+        """Leave the trial to the next scheduler; a final phase is kept."""
+        had_trial = rollout.trial is not None
         self._end_trial(rollout)
         rollout.core = None
-        if not was_trying:
+        if not had_trial:
             return
-        if rollout.phase not in _FINAL:
+        if rollout.phase not in _FINAL_STATE_BY_PHASE:
             rollout.phase = Phase.UNKNOWN
             self.on_change()
 
-    def _let_go(self, rollout: _Rollout) -> None:
+    def _cancel(self, rollout: _Rollout) -> None:
         self._end_trial(rollout)
-        if rollout.work is not None:
-            rollout.work.cancel()
+        if rollout.task is not None:
+            rollout.task.cancel()
 
     # --- the record ---------------------------------------------------------------
 
-    async def _take_up(self, rollout: _Rollout) -> None:
-        """Read what stands of an order, and begin its trial if nothing final does."""
+    async def _load_or_start(self, rollout: _Rollout) -> None:
+        """Load the recorded state of an order; start its trial unless it is final."""
         order = rollout.order
         try:
             status = await self._record.load(order.service)
-            known = status is not None and status.number == order.number
-            if not known:
+            is_known = status is not None and status.number == order.number
+            if not is_known:
                 status = RolloutStatus(
                     order.number, RolloutState.RUNNING, rollout.first_seen_ms
                 )
                 if not await self._record.save(order, status):
                     return
         except PlatformError as error:
-            self._tell_failed(order, error)
-            await asyncio.sleep(PAUSE_S)
+            self._log_record_failure(order, error)
+            await asyncio.sleep(RETRY_DELAY_S)
             return
         if rollout.core is None or self._rollouts.get(order.service) is not rollout:
             return
         rollout.ordered_ms = status.ordered_ms
         if status.state.is_final:
-            rollout.recorded = _PHASES[status.state]
-            self._enter(rollout, _PHASES[status.state])
+            rollout.recorded = _PHASE_BY_STATE[status.state]
+            self._enter_phase(rollout, _PHASE_BY_STATE[status.state])
             return
         ends_ms = status.ordered_ms + order.duration_ms
-        rollout.trial = Trial(order, self._bounds, ends_ms, is_first=not known)
-        self._enter(rollout, Phase.TRYING)
+        rollout.trial = Trial(order, self._bounds, ends_ms, is_first=not is_known)
+        self._enter_phase(rollout, Phase.TRYING)
 
     async def _save(self, rollout: _Rollout, phase: Phase) -> None:
-        """Record a verdict; where another VM has recorded one, that stands."""
+        """Record a verdict; one that another VM has recorded takes precedence."""
         order = rollout.order
-        status = RolloutStatus(order.number, _FINAL[phase], rollout.ordered_ms)
+        status = RolloutStatus(
+            order.number, _FINAL_STATE_BY_PHASE[phase], rollout.ordered_ms
+        )
         try:
             if not await self._record.save(order, status):
-                stands = await self._record.load(order.service)
-                if stands is None or not stands.state.is_final:
+                recorded = await self._record.load(order.service)
+                if recorded is None or not recorded.state.is_final:
                     return
-                phase = _PHASES[stands.state]
+                phase = _PHASE_BY_STATE[recorded.state]
         except PlatformError as error:
-            self._tell_failed(order, error)
-            await asyncio.sleep(PAUSE_S)
+            self._log_record_failure(order, error)
+            await asyncio.sleep(RETRY_DELAY_S)
             return
         rollout.recorded = phase
-        self._enter(rollout, phase)
+        self._enter_phase(rollout, phase)
         self._end_trial(rollout)
 
-    def _tell_failed(self, order: RolloutOrder, error: PlatformError) -> None:
+    def _log_record_failure(self, order: RolloutOrder, error: PlatformError) -> None:
         log_event(events.ROLLOUT_RECORD_FAILED, service=order.service, error=error)
 
 
-def _barred(rollout: _Rollout, own: Mapping[str, Endpoint]) -> set[str]:
-    """Return the endpoints of a service that must get no new requests."""
+def _blocked_endpoints(rollout: _Rollout, own: Mapping[str, Endpoint]) -> set[str]:
+    """Return the ids of a service's endpoints that must get no new requests."""
     version = rollout.order.to_version
     new = {name for name, one in own.items() if one.version == version}
     old = own.keys() - new
@@ -320,10 +324,11 @@
         case Phase.MOVING:
             return set(old)
         case Phase.COMPLETED:
-            # What is listed later has nothing to do with this order.
-            return set(rollout.old & old)
-        case Phase.UNKNOWN if not old or rollout.has_lapsed:
-            # The old endpoints are gone, as when the service has moved, or the order.
+            # Endpoints listed later have nothing to do with this order.
+            return set(rollout.old_endpoints & old)
+        case Phase.UNKNOWN if not old or rollout.has_expired:
+            # The old endpoints are gone, as after a completed rollout, or the order
+            # has expired.
             return set()
     return new
 
@@ -343,5 +348,5 @@
     )
 
 
-def _ignore() -> None:
-    """Stand in until somebody follows."""
+def _do_nothing() -> None:
+    """Do nothing, as the default callback."""
--- a/src/pomelolane/rollouts/trial.py
+++ b/src/pomelolane/rollouts/trial.py
@@ -1,7 +1,8 @@
-"""The trial of a new version at its service's scheduler; pure, time is passed in.
+"""Trial of a new version at the scheduler of its service: no I/O, time is passed in.
 
-Until the verdict the new version gets a part of what it may get, on one endpoint after
-the other: a version that fails under load shows it on an endpoint that is fully used.
+Until the verdict the new version gets a part of the allowed requests, in bursts that
+fill one endpoint after the other: a version that fails under load does so only on an
+endpoint whose slots are all in use.
 """
 
 from __future__ import annotations
@@ -19,37 +20,37 @@
     from pomelolane.model import Endpoint
     from pomelolane.rollouts.order import RolloutBounds, RolloutOrder
 
-TRIED_PART = 0.6
-"""Part of the allowed share that is used in the trial; the rest is for the requests
-that a version gets until it is known to have turned bad after all were moved to it."""
+TRIAL_SHARE_PART = 0.6
+"""Part of the allowed share used in the trial. The rest is reserved for the requests
+that a version gets if it turns bad after the move, until that is detected."""
 
-SLACK_PART = 0.4
-"""Part of the allowance beside the share that is used, for the first answers."""
+TRIAL_SLACK_PART = 0.4
+"""Part of the allowed slack used in the trial, for the first answers."""
 
 MOVE_BEFORE_MS = 4_000.0
-"""Time before the order's end at which new requests go to the new version alone, so
-that the old one's streams can end before it is stopped."""
+"""Time before the end of the order at which all new requests go to the new version, so
+that streams of the old one can end before it is stopped."""
 
-MOVE_BEFORE_PART = 0.3
-"""The same as a part of the order's time at most."""
+MOVE_BEFORE_MAX_PART = 0.3
+"""Upper bound of that time, as a part of the order's duration."""
 
 COMPLETE_BEFORE_MS = 1_000.0
-"""Time before the order's end from which on completion is recorded. Until then a
+"""Time before the end of the order at which completion is recorded. Until then a
 version that turns bad can still be rolled back."""
 
-LEAST_ANSWERS = 20
-"""Answers of the new version without which it is not taken for good."""
+MIN_NEW_ANSWERS = 20
+"""Answers of the new version needed to accept it."""
 
 
 class Phase(Enum):
-    """Where an order stands.
+    """Phase of an order on one VM.
 
     Attributes:
-        UNKNOWN: Somebody else decides, or what stands could not be read yet.
-        TRYING: The new version gets a small share.
-        MOVING: The new version gets everything.
-        COMPLETED: It is recorded that the service has moved.
-        ROLLED_BACK: The new version gets nothing any more.
+        UNKNOWN: Another VM decides, or the recorded state has not been read yet.
+        TRYING: The new version gets a small share of the requests.
+        MOVING: The new version gets all new requests.
+        COMPLETED: The move to the new version is recorded as completed.
+        ROLLED_BACK: The new version gets no more requests.
     """
 
     UNKNOWN = "unknown"
@@ -60,22 +61,22 @@
 
 
 class Trial:
-    """One order under one scheduler.
+    """The trial of one order at one scheduler.
 
-    A scheduler that takes over begins a new account: what each lets pass is within the
-    share of what it sees itself, so no account has to be handed on.
+    A scheduler that takes over starts with new counters. Each one stays within the
+    allowed share of the requests that it sees itself, so none are handed over.
 
     Args:
         order: The order.
-        bounds: What the new version may get.
-        ends_ms: When the order's time is over.
-        is_first: Whether no other scheduler has tried it before.
+        bounds: Limits on the requests for the new version.
+        ends_ms: When the duration of the order is over.
+        is_first: Whether no other scheduler has run a trial of the order before.
 
     Attributes:
-        phase: Where it stands.
-        judge: Counts the answers.
-        arrived: Requests for the service.
-        exposed: Those that the new version got.
+        phase: Current phase.
+        judge: Compares the answers of the two versions.
+        arrived: Number of requests for the service.
+        exposed: Number of requests sent to the new version.
     """
 
     def __init__(
@@ -91,19 +92,19 @@
         self.arrived = 0
         self.exposed = 0
         self._order = order
-        self._share = TRIED_PART * bounds.exposure_share
-        self._slack = SLACK_PART * bounds.exposure_slack if is_first else 0.0
-        before_ms = min(MOVE_BEFORE_MS, MOVE_BEFORE_PART * order.duration_ms)
+        self._share = TRIAL_SHARE_PART * bounds.exposure_share
+        self._slack = TRIAL_SLACK_PART * bounds.exposure_slack if is_first else 0.0
+        before_ms = min(MOVE_BEFORE_MS, MOVE_BEFORE_MAX_PART * order.duration_ms)
         self._move_ms = ends_ms - before_ms
         self._complete_ms = ends_ms - min(COMPLETE_BEFORE_MS, before_ms / 2)
         self._new: dict[str, Endpoint] = {}
-        self._focus: list[str] = []
+        self._rotation: list[str] = []
         self._burst_left = 0
         self._arrived_by_work: dict[str, int] = defaultdict(int)
         self._exposed_by_work: dict[str, int] = defaultdict(int)
 
     def configure(self, endpoints: Mapping[str, Endpoint]) -> None:
-        """Adopt the service's endpoints as they are listed now."""
+        """Apply the currently listed endpoints of the service."""
         to_version = self._order.to_version
         self._new = {
             name: endpoint
@@ -111,23 +112,23 @@
             if endpoint.version == to_version
         }
         staying = {name for name, one in self._new.items() if not one.leaving}
-        kept = [name for name in self._focus if name in staying]
-        self._focus = kept + sorted(staying - set(kept))
+        kept = [name for name in self._rotation if name in staying]
+        self._rotation = kept + sorted(staying - set(kept))
         self.judge.new_endpoints = len(staying)
 
     # --- requests -----------------------------------------------------------
 
     def count_arrival(self, handle: Handle) -> None:
-        """Count a request, unless it has come before."""
+        """Count a request, except for retries."""
         if handle.attempt == 0 and not handle.excluded and not handle.admitted:
             self.arrived += 1
             self._arrived_by_work[handle.work] += 1
 
     def should_get(self, handle: Handle) -> bool:
-        """Tell whether a request should go to the new version.
+        """Return whether a request should go to the new version.
 
-        Repeats go where the version is proved. Each route gets its part: some versions
-        fail on one of them only.
+        Retries go to the old version. Each route gets its own share, as some versions
+        fail on a single route.
         """
         if self.phase is not Phase.TRYING or handle.attempt or handle.excluded:
             return False
@@ -137,45 +138,46 @@
             return False
         arrived = self._arrived_by_work[handle.work]
         part = arrived / max(1, self.arrived)
-        allowed = self._share * arrived + part * self._slack + self._slots_in_focus()
+        allowed = self._share * arrived + part * self._slack + self._burst_size()
         return self._exposed_by_work[handle.work] + 1 <= allowed
 
     def _is_in_burst(self) -> bool:
-        """Tell whether the allowance is being used, or saved up for a full endpoint.
+        """Return whether a burst is in progress, starting one if enough is allowed.
 
-        Requests that come one by one never fill an endpoint, and a version that fails
-        under load would be found out only when it has got everything.
+        The allowance is saved up until it fills all slots of an endpoint. Single
+        requests never do, and a version that fails under load would be detected only
+        after the move.
         """
         allowed = self._share * self.arrived + self._slack - self.exposed
         if allowed < 1:
             self._burst_left = 0
-        elif self._burst_left == 0 and allowed >= self._slots_in_focus():
-            self._burst_left = self._slots_in_focus()
+        elif self._burst_left == 0 and allowed >= self._burst_size():
+            self._burst_left = self._burst_size()
         return self._burst_left > 0
 
-    def _slots_in_focus(self) -> int:
-        slots = [self._new[name].slots for name in self._focus[:1]]
+    def _burst_size(self) -> int:
+        slots = [self._new[name].slots for name in self._rotation[:1]]
         return min(slots, default=1)
 
     def endpoints_to_try(self) -> list[str]:
-        """Return the endpoints to try, in this order."""
-        doubted = self.judge.doubted
-        return [name for name in self._focus if name not in doubted]
+        """Return the ids of the endpoints to try, in this order."""
+        outliers = self.judge.outliers
+        return [name for name in self._rotation if name not in outliers]
 
     def count_grant(self, endpoint_id: str, work: str) -> None:
-        """Count a request that was given to an endpoint, of either version."""
+        """Count a request granted to an endpoint of either version."""
         if endpoint_id not in self._new:
             return
         self.exposed += 1
         self._exposed_by_work[work] += 1
         if self.phase is Phase.TRYING and self._burst_left > 0:
             self._burst_left -= 1
-            self._turn_focus()
+            self._rotate()
 
-    def _turn_focus(self) -> None:
-        """Let the next burst go to the next endpoint."""
-        if self._burst_left == 0 and self._focus:
-            self._focus.append(self._focus.pop(0))
+    def _rotate(self) -> None:
+        """Send the next burst to the next endpoint once a burst is over."""
+        if self._burst_left == 0 and self._rotation:
+            self._rotation.append(self._rotation.pop(0))
 
     def record_answer(
         self,
@@ -187,16 +189,16 @@
         slowness: float,
         has_begun: bool,
     ) -> None:
-        """Judge an answer, or the end of a request that got none.
+        """Record an answer, or the end of a request without one.
 
         Args:
-            endpoint_id: Who gave it.
+            endpoint_id: The endpoint.
             work: Name of the route.
             now_ms: When it ended.
-            has_failed: Whether it was a failure.
-            slowness: Time to the first byte against an idle endpoint's, negative where
-                that is not known.
-            has_begun: Whether it began.
+            has_failed: Whether the request failed.
+            slowness: Time to first byte divided by that predicted at speed 1, negative
+                if unknown.
+            has_begun: Whether the answer began.
         """
         answer = VersionAnswer(
             endpoint_id,
@@ -211,23 +213,25 @@
     # --- time -----------------------------------------------------------------
 
     def tick(self, now_ms: float) -> None:
-        """Go on to the next phase where it is time."""
+        """Enter the next phase if it is due."""
         if self.phase not in (Phase.TRYING, Phase.MOVING):
             return
         if self.judge.is_bad:
             self.phase = Phase.ROLLED_BACK
         elif self.phase is Phase.TRYING and now_ms >= self._move_ms:
-            self._move_or_give_up(now_ms)
+            self._move_or_roll_back(now_ms)
 
-    def _move_or_give_up(self, now_ms: float) -> None:
-        if self.judge.new_answers >= LEAST_ANSWERS and self._focus:
+    def _move_or_roll_back(self, now_ms: float) -> None:
+        if self.judge.new_answers >= MIN_NEW_ANSWERS and self._rotation:
             self.phase = Phase.MOVING
-            # All of them are used now, and all that they answer counts.
-            self.judge.doubted.clear()
+            # All endpoints are used from now on, and all their answers count.
+            self.judge.outliers.clear()
         elif now_ms >= self._complete_ms:
-            self.judge.reason = f"{self.judge.new_answers} answers are too few"
+            self.judge.reason = (
+                f"only {self.judge.new_answers} answers of the new version"
+            )
             self.phase = Phase.ROLLED_BACK
 
-    def is_due(self, now_ms: float) -> bool:
-        """Tell whether completion should be recorded now."""
+    def should_complete(self, now_ms: float) -> bool:
+        """Return whether completion should be recorded now."""
         return self.phase is Phase.MOVING and now_ms >= self._complete_ms
--- a/tests/steps/rollouts_judge_steps.py
+++ b/tests/steps/rollouts_judge_steps.py
@@ -90,9 +90,9 @@
     while judge.new_answers < answers and not judge.is_bad:
         now_ms += ANSWER_MS
         answer = _answer(case, judge, draw, failing, speeds)
-        if answer.endpoint_id not in judge.doubted:
+        if answer.endpoint_id not in judge.outliers:
             judge.add(answer, now_ms)
-        elif len(judge.doubted) == ENDPOINTS:
+        elif len(judge.outliers) == ENDPOINTS:
             break
         else:
             judge.new_answers += 1
