--- a/src/pomelolane/rollouts/trial.py
+++ b/src/pomelolane/rollouts/trial.py
@@ -228,7 +228,7 @@
             self.judge.outliers.clear()
         elif now_ms >= self._complete_ms:
             self.judge.reason = (
-                f"only {self.judge.new_answers} answers of the new version"
+                f"{self.judge.new_answers} answers of the new version are too few"
             )
             self.phase = Phase.ROLLED_BACK
 
