--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -312,7 +312,7 @@
         configuration = self._current.value
         if configuration is None or not self._takes_part:
             return
-        usable = self.rollouts.usable(self._directory.all)
+        usable = self.rollouts.mark_blocked(self._directory.all)
         tree = tree_from_configuration(configuration, usable)
         self.coordination.configure(tree)
 
--- a/src/pomelolane/platform/host.py
+++ b/src/pomelolane/platform/host.py
@@ -140,7 +140,7 @@
             self._store, self._current, self._clock, file.limit_window, file.apply_ms
         )
         configuration.share(file.vm_id, file.data_centre, member, member.transport)
-        configuration.on_orders = node.rollouts.take
+        configuration.on_orders = node.rollouts.adopt
         watch.on_regained(configuration.refresh)
         self._background.start("configuration", configuration.run())
         await node.start()
--- a/src/pomelolane/rollouts/rollouts.py
+++ b/src/pomelolane/rollouts/rollouts.py
@@ -117,7 +117,7 @@
 
     # --- orders ---------------------------------------------------------------
 
-    def take(self, orders: Iterable[RolloutOrder]) -> None:
+    def adopt(self, orders: Iterable[RolloutOrder]) -> None:
         """Adopt new orders; orders that are already known stay unchanged."""
         has_new = False
         for order in orders:
@@ -137,7 +137,7 @@
         if has_new:
             self.on_change()
 
-    def usable(self, endpoints: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
+    def mark_blocked(self, endpoints: Mapping[str, Endpoint]) -> dict[str, Endpoint]:
         """Return the endpoints, with blocked ones marked as leaving."""
         blocked = set()
         for rollout in self._rollouts.values():
@@ -299,10 +299,10 @@
         )
         try:
             if not await self._record.save(order, status):
-                recorded = await self._record.load(order.service)
-                if recorded is None or not recorded.state.is_final:
+                latest = await self._record.load(order.service)
+                if latest is None or not latest.state.is_final:
                     return
-                phase = _PHASE_BY_STATE[recorded.state]
+                phase = _PHASE_BY_STATE[latest.state]
         except PlatformError as error:
             self._log_record_failure(order, error)
             await asyncio.sleep(RETRY_DELAY_S)
