--- a/tests/rollouts/judge.feature
+++ b/tests/rollouts/judge.feature
@@ -1,11 +1,11 @@
 Feature: The verdict on a new version
-  Answers of the new version are judged beside those of the old one on the same routes in
-  the same span. One answer in six goes to the new version unless it says otherwise.
+  Answers of the new version are compared with those of the old one on the same routes in
+  the same period. One request in six goes to the new version.
 
-  Scenario Outline: A bad version is found out before it has given fifty bad answers
-    Given a judge of a version that is <badness> on endpoints of unlike speeds
-    When up to <answers> answers of it come, in 40 seeded trials
-    Then it is condemned in 39 trials at least, after 50 bad answers at most
+  Scenario Outline: A bad version is rejected after at most fifty bad answers
+    Given a judge for a version that is <badness> on endpoints of different speeds
+    When up to <answers> of its answers are judged in 40 seeded trials
+    Then it is rejected in 39 trials at least, after 50 bad answers at most
 
     Examples:
       | badness                       | answers |
@@ -16,10 +16,10 @@
       | slower by six times           | 300     |
       | slower by four times for half | 300     |
 
-  Scenario Outline: A good version stays
-    Given a judge of a version that is <state> on endpoints of unlike speeds
-    When up to 300 answers of it come, in 100 seeded trials
-    Then it is condemned in 1 trial at most
+  Scenario Outline: A good version is not rejected
+    Given a judge for a version that is <state> on endpoints of different speeds
+    When up to 300 of its answers are judged in 100 seeded trials
+    Then it is rejected in 1 trial at most
 
     Examples:
       | state                                      |
--- a/tests/scheduler/load/long_prompts.feature
+++ b/tests/scheduler/load/long_prompts.feature
@@ -1,15 +1,15 @@
-Feature: Long prompts beside streams that may not pause for long
-  Pattern: prompts of several thousand tokens are read beside streams that may pause for
-  150 to 400 ms, on engines that stop every stream while they read a chunk. A prompt
-  that would hold up the streams beside it waits, or goes elsewhere.
+Feature: Long prompts on engines with concurrent streams
+  Load: engines read prompts of several thousand tokens while they serve streams that may
+  pause for 150 to 400 ms, and stop every stream while they read a chunk. A prompt that
+  would stall the streams waits, or goes to another engine.
 
-  On days 10 and 6 that is worth 0.09 and 0.07 against placing prompts regardless; the
-  bounds are about half of it.
+  With seeds 10 and 6 this raises the score by 0.09 and 0.07 over placement without
+  regard to streams; the bounds are about half of that.
 
-  Scenario Outline: Sparing the streams is worth it
-    When the load of day <seed> is played
-    And it is played again with "gap_share" at 100
-    Then the first play is worth at least <more> more
+  Scenario Outline: Not stalling streams raises the score
+    When the load of day <seed> is simulated
+    And it is simulated again with "gap_share" at 100
+    Then the first run scores at least <more> more
 
     Examples:
       | seed | more |
--- a/tests/scheduler/load/overload.feature
+++ b/tests/scheduler/load/overload.feature
@@ -1,25 +1,25 @@
 Feature: Long overload
-  Pattern: more is asked for most of the day than the engines can answer. What cannot be
-  on time is refused while that costs its caller nothing, and nobody is held until it
-  leaves.
+  Load: for most of the day, more requests arrive than the engines can answer. Requests
+  that cannot be on time are refused early enough for their callers to try elsewhere, and
+  none waits until its caller disconnects.
 
-  On days 22 and 2 refusals were worth 0.07 and 0.05 while late work went first: 0.638
-  and 0.677 without them. The bounds are what these days had to be worth then. On days 27
-  and 21 one caller in seven left while waiting without the bound on patience, and at
-  most one in five hundred leaves with it.
+  With seeds 22 and 2 refusals raised the score by 0.07 and 0.05, from 0.638 and 0.677,
+  when late requests were still granted first; the bounds are the scores required then.
+  With seeds 27 and 21 one caller in seven disconnected while waiting before waits were
+  bounded by the callers' patience, and at most one in five hundred does since.
 
-  Scenario Outline: What cannot be on time takes nothing from what can
-    When the load of day <seed> is played
-    Then the play is worth at least <least>
+  Scenario Outline: Requests that cannot be on time do not delay others
+    When the load of day <seed> is simulated
+    Then the run scores at least <least>
 
     Examples:
       | seed | least |
       | 22   | 0.68  |
       | 2    | 0.70  |
 
-  Scenario Outline: Callers are refused before they leave
-    When the load of day <seed> is played
-    Then at most <most> of the callers leave
+  Scenario Outline: Callers are refused before they disconnect
+    When the load of day <seed> is simulated
+    Then at most <most> of the callers disconnect
 
     Examples:
       | seed | most |
--- a/tests/scheduler/load/unlike_engines.feature
+++ b/tests/scheduler/load/unlike_engines.feature
@@ -1,14 +1,14 @@
 Feature: Engines three times slower than the others
-  Pattern: a third of the engines takes three times as long for everything, and nobody
-  says so. Their speed is learnt from first bytes.
+  Load: a third of the engines takes three times as long for everything, which their
+  declarations do not say. Their speed is learnt from the time to first byte.
 
-  On days 10 and 6 that is worth 0.11 and 0.10 against speeds that are never learnt; the
-  bounds are half of it.
+  With seeds 10 and 6 this raises the score by 0.11 and 0.10 over fixed speeds; the
+  bounds are half of that.
 
-  Scenario Outline: Learnt speeds are worth it
-    When the load of day <seed> is played
-    And it is played again with "speed_step" at 0
-    Then the first play is worth at least <more> more
+  Scenario Outline: Learnt speeds raise the score
+    When the load of day <seed> is simulated
+    And it is simulated again with "speed_step" at 0
+    Then the first run scores at least <more> more
 
     Examples:
       | seed | more |
--- a/tests/steps/objective_steps.py
+++ b/tests/steps/objective_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the objective policy and of limits in a sliding span."""
+"""Steps for the objective policy and for limits in a sliding window."""
 
 from dataclasses import replace
 
@@ -31,7 +31,7 @@
     context.core = CoreDriver(endpoints, policy="objective")
 
 
-@given("every slot is taken")
+@given("every slot is in use")
 def step_full(context):
     total = sum(endpoint.slots for endpoint in context.core.endpoints)
     for number in range(total):
@@ -39,7 +39,7 @@
     assert len(context.core.running) == total
 
 
-@when("the objective core is given")
+@when("the objective core receives the requests")
 def step_given(context):
     for row in context.table:
         cells = dict(row.items())
@@ -50,7 +50,7 @@
         context.core.submit(handle)
 
 
-@when('one running request ends on "{endpoint}"')
+@when('one running request on "{endpoint}" finishes')
 def step_ends(context, endpoint):
     running = context.core.running.items()
     context.core.end(next(name for name, where in running if where == endpoint))
@@ -77,7 +77,7 @@
     assert context.core.result(name).endpoint_id == endpoint
 
 
-@then('"{name}" is refused as "{reason}" with a time to come back')
+@then('"{name}" is refused as "{reason}" with a retry delay')
 def step_refused(context, name, reason):
     result = context.core.result(name)
     assert isinstance(result, Refusal), result
@@ -86,7 +86,7 @@
 
 
 def _run_on(context, endpoint, name, **fields):
-    """Submit until a request is granted on an endpoint; end the others."""
+    """Submit requests until one is granted on an endpoint; return its id."""
     for number in range(50):
         one = f"{name}.{number}"
         context.core.submit(_handle(one, **fields))
@@ -99,7 +99,7 @@
 def step_slower(context, slow, fast):
     for number in range(12):
         for endpoint, ms in ((slow, 110.0), (fast, 27.0)):
-            # Ten events of six tokens: as long as the policy expects at first.
+            # Ten events of six tokens: the policy's initial estimate.
             one = _run_on(context, endpoint, f"warm{number}{endpoint}", decode=60)
             context.core.event(one, ttft_ms=ms)
             context.core.event(one, tokens=10, elapsed_ms=ms * 10)
@@ -107,14 +107,14 @@
                 context.core.event(name, finished=True)
 
 
-@when('"{endpoint}" has one more prompt to read and a long answer comes')
+@when('"{endpoint}" gets one more prompt to read and a long request arrives')
 def step_long(context, endpoint):
     _run_on(context, endpoint, "prompt", prefill=20_000)
     handle = _handle("long", decode=LONG_ANSWER_TOKENS)
     context.core.submit(handle)
 
 
-@then('the long answer is granted on "{endpoint}"')
+@then('the long request is granted on "{endpoint}"')
 def step_long_granted(context, endpoint):
     assert context.core.result("long").endpoint_id == endpoint
 
@@ -133,7 +133,7 @@
     context.core.event("stream", ttft_ms=25.0)
 
 
-@when('prompts of {tokens:d} tokens come as "{first}" and "{second}"')
+@when('prompts of {tokens:d} tokens arrive as "{first}" and "{second}"')
 def step_prompts(context, tokens, first, second):
     for name in (first, second):
         _submit_stream(context, name, tokens, context.gap_ms)
@@ -148,7 +148,7 @@
         context.core.event(name, finished=True)
 
 
-@then("at most {most:d} read prompts are remembered")
+@then("at most {most:d} read prompts are kept")
 def step_prompts_bounded(context, most):
     (worker,) = context.core.core._fleet
     assert 0 < len(worker.recent_prompts) <= most
@@ -159,8 +159,8 @@
     context.core.event(name, ttft_ms=140.0)
 
 
-@when('{count:d} request on "{endpoint}" hears nothing for {ms:d} ms')
-@when('{count:d} requests on "{endpoint}" hear nothing for {ms:d} ms')
+@when('{count:d} request on "{endpoint}" gets no answer for {ms:d} ms')
+@when('{count:d} requests on "{endpoint}" get no answer for {ms:d} ms')
 def step_silent(context, count, endpoint, ms):
     kept = {_run_on(context, endpoint, f"silent{n}") for n in range(count)}
     for name in set(context.core.running) - kept:
@@ -199,7 +199,7 @@
     assert not context.suspended
 
 
-# --- the sliding span --------------------------------------------------------
+# --- the sliding window --------------------------------------------------------
 
 
 @given("a window of {bound:d} tokens in {ms:d} ms")
@@ -282,7 +282,7 @@
 
 @when(
     'a request of {tokens:d} tokens of "o" is refused by its endpoint '
-    "and tried again as new"
+    "and submitted again as new"
 )
 def step_refused_and_tried(context, tokens):
     context.core.submit(_charged("r.0", tokens))
@@ -293,8 +293,8 @@
 
 
 @when(
-    'a request of {tokens:d} tokens of "o" breaks '
-    "and its repeat is withdrawn while it waits"
+    'a request of {tokens:d} tokens of "o" fails '
+    "and its retry is withdrawn while it waits"
 )
 def step_repeat_withdrawn(context, tokens):
     context.core.submit(_charged("r.0", tokens))
@@ -307,7 +307,7 @@
 
 @when(
     'a request of {tokens:d} tokens of "o" waits, is withdrawn '
-    "and comes back as admitted"
+    "and is submitted again as admitted"
 )
 def step_back_admitted(context, tokens):
     context.core.submit(_charged("other", 0))
@@ -317,12 +317,14 @@
     context.core.submit(msgspec.structs.replace(waiting, admitted=True))
 
 
-@when('a request of {tokens:d} tokens of "o" comes that another scheduler has admitted')
+@when(
+    'a request of {tokens:d} tokens of "o" arrives that another scheduler has admitted'
+)
 def step_admitted_elsewhere(context, tokens):
     context.core.submit(msgspec.structs.replace(_charged("a.0", tokens), admitted=True))
 
 
-@when("one of {tokens:d} tokens comes after it that another scheduler has admitted")
+@when("one of {tokens:d} tokens arrives after it that another scheduler has admitted")
 def step_another_admitted(context, tokens):
     context.core.submit(msgspec.structs.replace(_charged("a.1", tokens), admitted=True))
 
@@ -332,7 +334,7 @@
     assert context.core.result("a.1").reason is Reason.TOKEN_LIMIT
 
 
-@then('"o" has room for {tokens:d} tokens and no more')
+@then('exactly {tokens:d} tokens of "o" may still pass')
 def step_room(context, tokens):
     (window,) = context.core.core.limits._windows()
     assert window.wait_ms(tokens, context.core.now) == 0
@@ -359,7 +361,7 @@
     assert sum(use.tokens for use in uses) == tokens, uses
 
 
-@when("{tokens:d} tokens of {then_ms:d} ms are given back at {ms:d} ms")
+@when("{tokens:d} tokens charged at {then_ms:d} ms are refunded at {ms:d} ms")
 def step_given_back(context, tokens, then_ms, ms):
     assert context.window.wait_ms(1, ms) >= 0
     context.window.give_back(tokens, then_ms)
@@ -414,7 +416,7 @@
     _run_on(context, endpoint, "reading", prefill=tokens)
 
 
-@when('a request comes in data centre "{place}"')
+@when('a request arrives in data centre "{place}"')
 def step_comes_in(context, place):
     handle = msgspec.structs.replace(_handle("placed"), data_centre=place)
     context.core.submit(handle)
@@ -442,7 +444,7 @@
     assert least <= events <= most, events
 
 
-@when('"{endpoint}" starts again under its id')
+@when('"{endpoint}" restarts under the same id')
 def step_starts_again(context, endpoint):
     context.before = next(iter(context.core.running))
     context.core.endpoints = [
@@ -452,7 +454,7 @@
     context.core.configure(context.core.endpoints)
 
 
-@then('"{endpoint}" is taken to be as fast and sound as an unknown one')
+@then('"{endpoint}" has the statistics of a new endpoint')
 def step_unknown(context, endpoint):
     figures = context.core.core.status()[endpoint]
     assert figures.slowdown == 1.0, figures
@@ -460,7 +462,7 @@
     assert not figures.suspended, figures
 
 
-@when('word comes of a request that the earlier start of "{endpoint}" ran')
+@when('an event arrives of a request from before the restart of "{endpoint}"')
 def step_late_word(context, endpoint):
     del endpoint
     context.core.event(context.before, ttft_ms=9_000.0)
--- a/tests/steps/rollouts_judge_steps.py
+++ b/tests/steps/rollouts_judge_steps.py
@@ -10,7 +10,7 @@
 ROUTES = ("long", "short", "rare")
 ROUTE_WEIGHTS = (5, 4, 2)
 NEW_EACH = 6
-"""One answer in so many is of the new version."""
+"""One answer in this many comes from the new version."""
 
 ENDPOINTS = 12
 FOCUS_ANSWERS = 8
@@ -22,10 +22,15 @@
 
 @dataclass(frozen=True)
 class Case:
-    """How the versions behave.
-
-    ``fails(route, new_answers)`` and ``slows`` return the share of the new version's
-    answers that fail, and the factor by which one is slower.
+    """Behaviour of the two versions in a test case.
+
+    Attributes:
+        fails: Returns the new version's share of failed answers, given the route and
+            the number of its answers so far.
+        slows: Returns the factor by which an answer of the new version is slower.
+        both_fail: Returns the share of failed answers of both versions.
+        failing_endpoints: Returns the ids of faulty endpoints.
+        overload: Whether both versions are slow for a while.
     """
 
     fails: object = None
@@ -66,12 +71,12 @@
 }
 
 
-@given("a judge of a version that is {case} on endpoints of unlike speeds")
+@given("a judge for a version that is {case} on endpoints of different speeds")
 def step_case(context, case):
     context.case = CASES[case]
 
 
-@when("up to {answers:d} answers of it come, in {trials:d} seeded trials")
+@when("up to {answers:d} of its answers are judged in {trials:d} seeded trials")
 def step_trials(context, answers, trials):
     context.judges = [_play(context.case, answers, seed) for seed in range(trials)]
 
@@ -120,16 +125,14 @@
     return VersionAnswer(name, route, is_new, draw.random() < fail_share, slowness)
 
 
-@then(
-    "it is condemned in {least:d} trials at least, after {most:d} bad answers at most"
-)
+@then("it is rejected in {least:d} trials at least, after {most:d} bad answers at most")
 def step_condemned(context, least, most):
     found = [judge for judge in context.judges if judge.is_bad]
     late = [judge.bad_answers for judge in found if judge.bad_answers > most]
     assert len(found) >= least and not late, (len(found), late)
 
 
-@then("it is condemned in {most:d} trial at most")
+@then("it is rejected in {most:d} trial at most")
 def step_kept(context, most):
     reasons = [judge.reason for judge in context.judges if judge.is_bad]
     assert len(reasons) <= most, reasons
--- a/tests/steps/scheduler_load_plain_steps.py
+++ b/tests/steps/scheduler_load_plain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of tests/scheduler/load: a plain service that is full, without a network."""
+"""Steps of tests/scheduler/load: simulated overload of a plain service."""
 
 from behave import then, when
 
@@ -13,29 +13,29 @@
 KINDS = (
     PlainKind("checked", rank=0, per_s=30, objective_ms=385, limit_ms=4_200),
     PlainKind("quoted", rank=2, per_s=120, objective_ms=384, limit_ms=4_186),
-    # It names no time within which an answer is due.
+    # Without an objective: due only when the caller disconnects.
     PlainKind("untimed", rank=3, per_s=12, objective_ms=950, limit_ms=950),
 )
 
 
 @when(
-    "a plain service with {slots:d} slots an endpoint that takes {work_ms:d} ms"
-    " is played"
+    "a plain service with {slots:d} slots per endpoint that takes {work_ms:d} ms"
+    " is simulated"
 )
 def step_play(context, slots, work_ms):
     context.bursts = [_burst(row, slots, work_ms) for row in context.table]
 
 
 @when(
-    "a plain service with {slots:d} slots an endpoint is played"
-    " whose calls take {work_ms:d} ms in the mean"
+    "a plain service with {slots:d} slots per endpoint is simulated"
+    " whose calls take {work_ms:d} ms on average"
 )
 def step_play_unlike(context, slots, work_ms):
     context.bursts = [_burst(row, slots, work_ms, WORK_SPREAD) for row in context.table]
 
 
 def _burst(row, slots, work_ms, work_spread=0.0):
-    """Return the calls that came in a burst, with what became of them."""
+    """Simulate a load burst; return its calls with their outcomes."""
     until_ms = BURST_FROM_MS + float(row["seconds"]) * 1000
     burst = (BURST_FROM_MS, until_ms, float(row["factor"]))
     endpoints = int(row["endpoints"])
@@ -57,7 +57,7 @@
     assert min(shares) >= share, shares
 
 
-@then('each time at most {share:f} of the callers of "{kind}" leave')
+@then('each time at most {share:f} of the callers of "{kind}" disconnect')
 def step_leave(context, share, kind):
     shares = [
         sum(call.state == "left" for call in calls) / len(calls)
--- a/tests/steps/scheduler_load_steps.py
+++ b/tests/steps/scheduler_load_steps.py
@@ -1,4 +1,4 @@
-"""Steps of tests/scheduler/load: days of the laboratory, played without a network."""
+"""Steps of tests/scheduler/load: simulated days of load, without a network."""
 
 from dataclasses import replace
 
@@ -14,13 +14,13 @@
     return score_play(play)
 
 
-@when("the load of day {seed:d} is played")
+@when("the load of day {seed:d} is simulated")
 def step_play(context, seed):
     context.seed = seed
     context.score = _play(seed)
 
 
-@when('it is played again with "{option}" at {value:d}')
+@when('it is simulated again with "{option}" at {value:d}')
 def step_play_again(context, option, value):
     context.other = _play(context.seed, **{option: value})
 
@@ -36,17 +36,17 @@
     assert context.score.whole >= least, context.score.whole
 
 
-@then("at most {most:f} of the callers leave")
+@then("at most {most:f} of the callers disconnect")
 def step_leave(context, most):
     assert context.score.left <= most, context.score.left
 
 
-@then("the first play is worth at least {more:f} more")
+@then("the first run scores at least {more:f} more")
 def step_worth_more(context, more):
     gain = context.score.worth - context.other.worth
     assert gain >= more, gain
 
 
-@then("the play is worth at least {least:f}")
+@then("the run scores at least {least:f}")
 def step_worth(context, least):
     assert context.score.worth >= least, context.score.worth
--- a/tests/steps/scheduler_rate_steps.py
+++ b/tests/steps/scheduler_rate_steps.py
@@ -1,4 +1,4 @@
-"""Steps of tests/scheduler/rate.feature and of limits while VMs go alone."""
+"""Steps for announced rate limits, also for VMs that are cut off from each other."""
 
 import math
 from dataclasses import replace
@@ -21,8 +21,8 @@
     context.core.submit(make_handle(row, objective_ms=budget_ms - 10_000))
 
 
-def _granted_anew(context, endpoint):
-    """Submit requests until one is granted on an endpoint."""
+def _grant_new_request(context, endpoint):
+    """Submit a request and wait until it is granted on an endpoint."""
     context.numbers = getattr(context, "numbers", count())
     name = f"asked{next(context.numbers)}"
     _submit(context, name)
@@ -31,7 +31,7 @@
             assert context.core.running[name] == endpoint
             return name
         context.core.tick(50)
-    raise AssertionError(f"{name} is not granted")
+    raise AssertionError(f"{name} was not granted")
 
 
 def _answer(context, name, limit_per_s):
@@ -39,36 +39,36 @@
     context.core.event(name, finished=True)
 
 
-@when('an answer of "{endpoint}" names {per_s:g} requests a second')
+@when('an answer of "{endpoint}" announces a limit of {per_s:g} requests per second')
 def step_names(context, endpoint, per_s):
-    _answer(context, _granted_anew(context, endpoint), per_s)
+    _answer(context, _grant_new_request(context, endpoint), per_s)
 
 
-@when('an answer of "{endpoint}" names no limit')
+@when('an answer of "{endpoint}" announces no limit')
 def step_names_none(context, endpoint):
-    _answer(context, _granted_anew(context, endpoint), math.inf)
+    _answer(context, _grant_new_request(context, endpoint), math.inf)
 
 
 @when('a request is granted on "{endpoint}"')
 def step_one(context, endpoint):
-    context.early = _granted_anew(context, endpoint)
+    context.early = _grant_new_request(context, endpoint)
 
 
-@when("that request's answer names no limit")
+@when("that request's answer announces no limit")
 def step_early(context):
     _answer(context, context.early, math.inf)
 
 
 @when(
-    'a gateway tells that "{endpoint}" named {per_s:g} requests a second {age_ms:d} ms '
-    "ago"
+    "a gateway reports a limit of {per_s:g} requests per second "
+    'from "{endpoint}", {age_ms:d} ms old'
 )
 def step_told(context, endpoint, per_s, age_ms):
     now_ms = context.core.now
     context.core.core.hear_limit(endpoint, per_s, now_ms - age_ms, now_ms)
 
 
-@when('the registry loses "{endpoint}" for a moment')
+@when('the registry briefly loses "{endpoint}"')
 def step_lost(context, endpoint):
     endpoints = context.core.endpoints
     context.core.configure([one for one in endpoints if one.endpoint_id != endpoint])
@@ -76,7 +76,7 @@
     context.core.configure(endpoints)
 
 
-@when('"{endpoint}" starts again')
+@when('"{endpoint}" restarts')
 def step_starts_again(context, endpoint):
     endpoints = [replace(one, born_ms=BORN_MS) for one in context.core.endpoints]
     context.core.configure(endpoints)
@@ -85,7 +85,7 @@
 @when('"{endpoint}" fails {times:d} times')
 def step_fails(context, endpoint, times):
     for _ in range(times):
-        name = _granted_anew(context, endpoint)
+        name = _grant_new_request(context, endpoint)
         context.core.event(name, finished=True, outcome="failed")
 
 
@@ -172,7 +172,7 @@
 
 
 def _hear(context, name, per_s):
-    """Let a VM's gateway get an answer of the endpoint that names a limit."""
+    """Let a VM's gateway receive an answer that announces a limit."""
     request_id = next(
         request_id
         for request_id, request in context.world.requests.items()
@@ -205,8 +205,8 @@
     assert least <= sent <= most, sent
 
 
-@then('an answer {status:d} with "Server-Limit: {value}" names {limit}')
-@then('an answer {status:d} with "Server-Limit: " names {limit}')
+@then('an answer {status:d} with "Server-Limit: {value}" announces {limit}')
+@then('an answer {status:d} with "Server-Limit: " announces {limit}')
 def step_header(context, status, limit, value=""):
     del context
     headers = [(b"server-limit", value.encode())] if value else []
