--- a/src/pomelolane/scheduler/objective/core.py
+++ b/src/pomelolane/scheduler/objective/core.py
@@ -380,14 +380,14 @@
         return self._fleet.has_free_share(self._options.late_free_share, now_ms)
 
     def _grant_from(
-        self, line: RequestQueue, workers: list[Worker], now_ms: float
+        self, queue: RequestQueue, workers: list[Worker], now_ms: float
     ) -> list[Decision]:
         """Grant queued requests, removing workers from the list once they are full."""
         decisions: list[Decision] = []
         unplaced = []
         most_tokens = longest_accepted_prompt(workers)
         while workers and len(unplaced) < _MAX_UNPLACED_REQUESTS:
-            waiting = line.pop()
+            waiting = queue.pop()
             if waiting is None:
                 break
             worker = None
@@ -405,7 +405,7 @@
                 workers.remove(worker)
             most_tokens = longest_accepted_prompt(workers)
         for waiting in unplaced:
-            line.push(waiting)
+            queue.push(waiting)
         return decisions
 
     def _grant(
--- a/src/pomelolane/scheduler/objective/forecast.py
+++ b/src/pomelolane/scheduler/objective/forecast.py
@@ -164,9 +164,9 @@
 
     def start_ms(self, key: QueueKey, now_ms: float) -> float:
         """Return how long a request that arrives now would wait."""
-        place = bisect_right(self._keys, key)
-        ahead = place < len(self._keys)
-        start_ms = self._starts_ms[place] if ahead else self._forecast.next_ms()
+        position = bisect_right(self._keys, key)
+        ahead = position < len(self._keys)
+        start_ms = self._starts_ms[position] if ahead else self._forecast.next_ms()
         added_ms = sum(taken for other, taken in self._added if other <= key)
         since_ms = now_ms - self.created_ms
         return max(0.0, start_ms + added_ms / self.slots - since_ms)
--- a/src/pomelolane/scheduler/objective/worker.py
+++ b/src/pomelolane/scheduler/objective/worker.py
@@ -212,8 +212,8 @@
     def remaining_ms(self, flight: Flight, now_ms: float) -> float:
         """Return how much longer a request in flight is expected to hold its slot."""
         if not flight.started:
-            ttft_ms = flight.granted_ms + flight.expected_ttft_ms - now_ms
-            return max(1.0, ttft_ms) + self._answer_ms(flight.handle)
+            until_first_ms = flight.granted_ms + flight.expected_ttft_ms - now_ms
+            return max(1.0, until_first_ms) + self._answer_ms(flight.handle)
         expected = self._expected_events(flight.handle)
         left = max(_MIN_REMAINING_SHARE * expected, expected - flight.events)
         return max(1.0, left * self._expected_event_interval_ms())
