--- a/src/pomelolane/scheduler/accounting.py
+++ b/src/pomelolane/scheduler/accounting.py
@@ -1,7 +1,7 @@
-"""What is in flight at each endpoint, from the scheduler's own grants.
+"""Load and speed estimates of each endpoint, from the scheduler's own grants.
 
-It needs no load report: every grant and every stream event passes through
-here, and reports only correct what other schedulers may have added.
+No load report is needed: every grant and stream event of this scheduler is known
+here. Load reports only add the load that other schedulers may have caused.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 
 @dataclass(slots=True, eq=False)
 class RunningRequest:
-    """One dispatched request.
+    """A granted request that has not ended.
 
     Attributes:
-        handle: As the gateway sent it.
-        granted_ms: When the grant was made.
-        deadline_ms: When its last byte is due.
+        handle: The request as submitted by the gateway.
+        granted_ms: Time of the grant.
+        deadline_ms: Time by which the last byte is due.
         prefill_tokens: Prompt tokens not expected in the endpoint's cache.
         decode_tokens: Expected answer length.
-        expected_first_ms: When the first token was predicted.
-        expected_end_ms: When the last token was predicted.
-        cached_tokens: Prompt tokens expected in the cache.
-        decoded_tokens: Answer tokens seen so far.
-        started: Whether the first token was seen.
-        prefill_ms: Time that its prompt took, or -1 while that is not to be
-            learnt from.
-        probe: Whether it tries out an endpoint that is under suspicion.
+        expected_first_ms: Predicted time of the first token.
+        expected_end_ms: Predicted time of the last token.
+        cached_tokens: Prompt tokens expected in the endpoint's cache.
+        decoded_tokens: Answer tokens received so far.
+        started: Whether the first token was received.
+        prefill_ms: Measured prefill time in ms, or -1 if there is none to learn
+            from.
+        probe: Whether it probes an endpoint that is not healthy.
     """
 
     handle: Handle
@@ -63,22 +63,22 @@
 
     @property
     def kv_tokens(self) -> int:
-        """KV cache that it needs at its end."""
+        """KV cache tokens that the request needs at its end."""
         answer = max(self.decode_tokens, self.decoded_tokens)
         return self.handle.prefill_tokens + answer
 
 
 class EndpointState:
-    """Own account of one engine.
+    """Load and speed estimates of one engine.
 
     Args:
-        endpoint: Its declaration, the prior of its speeds.
-        learn_speeds: Whether observation moves the speeds.
+        endpoint: Its declaration; declared speeds are the prior.
+        learn_speeds: Whether observations update the speeds.
 
     Attributes:
-        slots: Slots that may be used here, at least one.
-        prefill_per_ms: Observed prompt speed.
-        decode_per_ms: Observed answer speed of one stream.
+        slots: Usable slots, at least one.
+        prefill_per_ms: Observed prefill speed, tokens per ms.
+        decode_per_ms: Observed decode speed of one stream, tokens per ms.
     """
 
     def __init__(self, endpoint: Endpoint, *, learn_speeds: bool = True) -> None:
@@ -103,49 +103,49 @@
 
     @property
     def has_foreign_load(self) -> bool:
-        """Whether reports speak of load that is not ours."""
+        """Whether load reports showed load from other schedulers."""
         return self._foreign > 0
 
     def update_declaration(self, endpoint: Endpoint) -> None:
-        """Adopt a new declaration."""
+        """Apply a new declaration."""
         self.endpoint = endpoint
         self.set_slot_share(self._slot_share)
 
     def set_slot_share(self, share: float) -> None:
-        """Use a share of the slots, of one at least."""
+        """Use only a share of the slots, but at least one slot."""
         self._slot_share = share
         self.slots = max(1, int(self.endpoint.slots * share))
 
     def free_slots(self, now_ms: float) -> int:
-        """Return slots neither used by own flights nor reported as used."""
+        """Return slots used neither by own requests nor by reported foreign load."""
         free = self.slots - len(self.running_requests)
         if not self._foreign:
             return free
         return free - round(self._foreign_load(now_ms))
 
     def kv_fits(self, tokens: int) -> bool:
-        """Tell whether a request's KV cache fits beside what runs."""
+        """Return whether a request's KV cache fits beside the running requests."""
         limit = self.endpoint.kv_tokens
         return limit <= 0 or self.kv_used_tokens + tokens <= limit
 
     def prefill_ahead_ms(self, now_ms: float) -> float:
-        """Return how long the prompts ahead will take."""
+        """Return the predicted time until the prompts ahead are processed."""
         return max(0.0, self.prefill_free_ms - now_ms)
 
     def service_ms(self, prefill_tokens: int, decode_tokens: int) -> float:
-        """Predict the time of a request that has nothing ahead of it."""
+        """Predict the service time of a request with no prompts ahead."""
         return prefill_tokens / self.prefill_per_ms + decode_tokens / self.decode_per_ms
 
     def phases_ms(self, prefill_tokens: int) -> tuple[float, float]:
-        """Predict the times of a prompt and of each token after it."""
+        """Predict the prefill time and the time per answer token."""
         return prefill_tokens / self.prefill_per_ms, 1.0 / self.decode_per_ms
 
     def unqueued_first_token_ms(self, prefill_tokens: int) -> float:
-        """Predict the time to the first token with nothing ahead."""
+        """Predict the time to the first token with no prompts ahead."""
         return prefill_tokens / self.prefill_per_ms + 1.0 / self.decode_per_ms
 
     def slot_wait_ms(self, now_ms: float) -> float:
-        """Predict when a slot is free and the prompts ahead are done."""
+        """Predict the time until a slot is free and the prompts ahead are processed."""
         wait_ms = self.prefill_ahead_ms(now_ms)
         if self.free_slots(now_ms) > 0 or not self.running_requests:
             return wait_ms
@@ -153,7 +153,7 @@
         return max(wait_ms, first_end_ms - now_ms)
 
     def add(self, request: RunningRequest, now_ms: float) -> None:
-        """Account for a grant."""
+        """Add a granted request."""
         self.running_requests[request.handle.request_id] = request
         self.kv_used_tokens += request.kv_tokens
         self._record_count(now_ms)
@@ -166,7 +166,7 @@
     def observe(
         self, request: RunningRequest, event: StreamEvent, now_ms: float
     ) -> None:
-        """Learn from a stream event of a flight."""
+        """Update the estimates from a stream event of a running request."""
         if event.ttft_ms >= 0 and not request.started:
             self._record_first_token(request, event, now_ms)
         if event.tokens > 0:
@@ -175,7 +175,7 @@
             self._learn_prefill(request, event)
 
     def remove(self, request: RunningRequest, now_ms: float) -> None:
-        """Free what a flight held."""
+        """Remove an ended request and free its slot and KV cache."""
         del self.running_requests[request.handle.request_id]
         self.kv_used_tokens -= request.kv_tokens
         self._record_count(now_ms)
@@ -183,10 +183,10 @@
             self._finish_prefill(request, now_ms)
 
     def correct(self, report: LoadReport, now_ms: float) -> None:
-        """Take in a lagging report: only load beyond our own counts.
+        """Estimate the load of other schedulers from a delayed load report.
 
-        The report is set against our own count of the time it speaks of, and
-        the older it is, the less of the difference is believed.
+        The report is compared with the own count at the time it was taken; the
+        excess is weighted less the older the report is.
         """
         taken_ms = now_ms - report.age_ms
         excess = max(0, report.running + report.waiting - self._count_at(taken_ms))
@@ -242,7 +242,7 @@
             del self._history_count[:_HISTORY_LENGTH]
 
     def _count_at(self, time_ms: float) -> int:
-        """Return the most flights that were counted around a time."""
+        """Return the maximum number of running requests around a time."""
         first = bisect_left(self._history_ms, time_ms - _REPORT_TIME_ERROR_MS)
         last = bisect_right(self._history_ms, time_ms + _REPORT_TIME_ERROR_MS)
         counts = self._history_count[max(0, first - 1) : last]
@@ -250,10 +250,10 @@
 
 
 class PlainEndpointState(EndpointState):
-    """Own account of a plain service's worker.
+    """Load and speed estimates of one endpoint of a plain service.
 
-    A call has one phase whose time does not depend on tokens; calls do not
-    wait for each other. It has no prompt phase, and counts as one token.
+    A call has a single phase whose time does not depend on tokens, and concurrent
+    calls do not delay each other. A call counts as one token.
     """
 
     def __init__(self, endpoint: Endpoint, *, learn_speeds: bool = True) -> None:
@@ -265,12 +265,12 @@
         self.decode_per_ms = self._calls.per_ms
 
     def service_ms(self, prefill_tokens: int, decode_tokens: int) -> float:
-        """Predict the time of a call, whatever its size."""
+        """Predict the time of a call, which does not depend on its size."""
         del prefill_tokens, decode_tokens
         return 1.0 / self.decode_per_ms
 
     def phases_ms(self, prefill_tokens: int) -> tuple[float, float]:
-        """Predict the time of a call as that of a prompt without tokens."""
+        """Predict the time of a call as prefill time, with no time per token."""
         return self.service_ms(prefill_tokens, 0), 0.0
 
     def unqueued_first_token_ms(self, prefill_tokens: int) -> float:
@@ -278,7 +278,7 @@
         return self.service_ms(prefill_tokens, 0)
 
     def prefill_ahead_ms(self, now_ms: float) -> float:
-        """Return zero: calls run side by side."""
+        """Return zero: concurrent calls do not delay each other."""
         del now_ms
         return 0.0
 
@@ -298,17 +298,17 @@
 def make_endpoint_state(
     endpoint: Endpoint, kind: ServiceKind, *, learn_speeds: bool = True
 ) -> EndpointState:
-    """Make the account that fits a kind of service."""
+    """Create the endpoint state for a kind of service."""
     if kind is ServiceKind.PLAIN:
         return PlainEndpointState(endpoint, learn_speeds=learn_speeds)
     return EndpointState(endpoint, learn_speeds=learn_speeds)
 
 
 def _is_prefill_known(request: RunningRequest, event: StreamEvent) -> bool:
-    """Tell whether it is known how much of a prompt was processed.
+    """Return whether the number of processed prompt tokens is known.
 
-    Engines tell how much was cached with the first token or at the end; until
-    then a prompt with whole blocks says little about their speed.
+    Engines report cached tokens with the first token or at the end. Until then, the
+    prefill time of a prompt that may be cached says little about the speed.
     """
     if event.cached_tokens >= 0 or event.finished:
         return True
--- a/src/pomelolane/scheduler/affinity.py
+++ b/src/pomelolane/scheduler/affinity.py
@@ -1,7 +1,7 @@
-"""Which prompt prefixes each engine probably holds in its cache.
+"""Index of the prompt prefixes that each engine probably has in its cache.
 
-The record is our own, of what was sent where; cache events, which come late and
-with gaps, and the engines' word on each answer correct it.
+It is derived from which prompt was sent where. Two sources correct it: cache
+events, which arrive late and with gaps, and the cached tokens of each answer.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _EndpointRecord:
-    """Blocks of one engine, least recently used first."""
+    """Prefix blocks of one engine, least recently used first."""
 
     __slots__ = ("blocks", "capacity", "confidence", "sequence")
 
@@ -35,14 +35,14 @@
 
 
 class PrefixIndex:
-    """Prefix blocks by endpoint and endpoints by prefix block."""
+    """Maps endpoints to cached prefix blocks and blocks to endpoints."""
 
     def __init__(self) -> None:
         self._records: dict[str, _EndpointRecord] = {}
         self._holders: dict[int, set[str]] = {}
 
     def add_endpoint(self, endpoint_id: str, kv_tokens: int) -> None:
-        """Begin a record, or set the size of the one that stands."""
+        """Add an endpoint, or update the cache size of a known one."""
         capacity = kv_tokens // BLOCK_TOKENS
         record = self._records.get(endpoint_id)
         if record is None:
@@ -51,13 +51,13 @@
             record.capacity = capacity
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Forget an endpoint."""
+        """Remove an endpoint."""
         record = self._records.pop(endpoint_id, None)
         for block in record.blocks if record else ():
             self._drop_holder(block, endpoint_id)
 
     def holders(self, hashes: Sequence[int]) -> set[str] | frozenset[str]:
-        """Return the endpoints that hold the longest known prefix."""
+        """Return the endpoints that cache the longest known prefix."""
         low, high = 0, len(hashes)
         while low < high:
             middle = (low + high + 1) // 2
@@ -68,7 +68,7 @@
         return self._holders[hashes[low - 1]] if low else _NO_HOLDERS
 
     def cached_tokens(self, endpoint_id: str, hashes: Sequence[int]) -> int:
-        """Return the prompt tokens that an endpoint is expected to have."""
+        """Return the prompt tokens expected in an endpoint's cache."""
         record = self._records.get(endpoint_id)
         if record is None or not hashes:
             return 0
@@ -82,7 +82,7 @@
         kv_free_tokens: int,
         now_ms: float,
     ) -> None:
-        """Record that a prompt goes to an endpoint, deepest block oldest."""
+        """Record that a prompt was sent; its last blocks are evicted first."""
         record = self._records.get(endpoint_id)
         if record is None:
             return
@@ -94,7 +94,7 @@
             self._evict(endpoint_id, record, oldest)
 
     def record_cache_hit(self, endpoint_id: str, expected: int, cached: int) -> None:
-        """Take in how many prompt tokens the engine really had."""
+        """Adjust the confidence by the cached tokens that the engine reported."""
         record = self._records.get(endpoint_id)
         if record is None or expected <= 0:
             return
@@ -102,7 +102,7 @@
         record.confidence += _CONFIDENCE_STEP * (truth - record.confidence)
 
     def apply_event(self, event: CacheEvent, now_ms: float) -> None:
-        """Take in a cache event; a jump in its numbers lowers confidence."""
+        """Apply a cache event; a gap in sequence numbers lowers the confidence."""
         record = self._records.get(event.endpoint_id)
         if record is None:
             return
@@ -141,7 +141,7 @@
 
 
 def _depth(record: _EndpointRecord, hashes: Sequence[int]) -> int:
-    """Return how many leading blocks a record holds, by bisection."""
+    """Return how many leading blocks of a prompt are cached, by bisection."""
     blocks = record.blocks
     low, high = 0, len(hashes)
     while low < high:
--- a/src/pomelolane/scheduler/baselines.py
+++ b/src/pomelolane/scheduler/baselines.py
@@ -1,7 +1,7 @@
-"""Simpler policies behind the same protocol, to measure ours against.
+"""Baseline placement policies for comparison with the default one.
 
-Two have no queue of ours at all and leave waiting to the engines; two reuse our
-core with most of its rules off.
+Two of them queue nothing and leave queueing to the engines; the other two are
+the default core with most of its rules disabled.
 """
 
 from __future__ import annotations
@@ -52,10 +52,10 @@
 
 
 class RoundRobinCore:
-    """Grants at once, to each endpoint in turn; the engines queue.
+    """Grants at once, round robin over the endpoints; the engines queue.
 
     Args:
-        service_name: The service it decides for.
+        service_name: Service whose requests it schedules.
     """
 
     def __init__(self, service_name: str) -> None:
@@ -73,7 +73,7 @@
         return []
 
     def submit(self, handle: Handle, now_ms: float) -> Sequence[Decision]:
-        """Grant at once, or refuse when nothing is ready."""
+        """Grant at once, or refuse if no endpoint is available."""
         del now_ms
         if handle.request_id in self._granted:
             return []
@@ -87,18 +87,18 @@
         return [Decision(handle.request_id, Grant(handle.request_id, endpoint_id, 0.0))]
 
     def register_running(self, running: RunningHandle, now_ms: float) -> None:
-        """Remember the id only."""
+        """Record the request id only."""
         del now_ms
         self._granted.add(running.handle.request_id)
 
     def withdraw(self, request_id: str, now_ms: float) -> Sequence[Decision]:
-        """Forget an id."""
+        """Remove a request id."""
         del now_ms
         self._granted.discard(request_id)
         return []
 
     def observe(self, event: StreamEvent, now_ms: float) -> Sequence[Decision]:
-        """Forget an id that has ended."""
+        """Remove the id of a finished request."""
         del now_ms
         if event.finished:
             self._granted.discard(event.request_id)
@@ -113,13 +113,13 @@
         """Ignore the event."""
 
     def mark_leaving(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
-        """Grant nothing more to an endpoint."""
+        """Stop granting requests to an endpoint."""
         del now_ms
         self._leaving.add(endpoint_id)
         return []
 
     def mark_returned(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
-        """Take back a mark."""
+        """Undo `mark_leaving`."""
         del now_ms
         self._leaving.discard(endpoint_id)
         return []
@@ -169,23 +169,23 @@
 
 @register(PLACEMENT_POLICIES, "round_robin")
 def make_round_robin(service_name: str) -> SchedulingCore:
-    """Make the policy that takes endpoints in turn."""
+    """Create a round robin core."""
     return RoundRobinCore(service_name)
 
 
 @register(PLACEMENT_POLICIES, "least_reported")
 def make_least_reported(service_name: str) -> SchedulingCore:
-    """Make the policy that believes load reports."""
+    """Create a core that chooses by load reports."""
     return LeastReportedCore(service_name)
 
 
 @register(PLACEMENT_POLICIES, "gateway_queues")
 def make_gateway_queues(service_name: str) -> SchedulingCore:
-    """Make a queue that uses one gateway's fixed share of the slots."""
+    """Create a core that uses one gateway's fixed share of the slots."""
     return PomelolaneCore(service_name, GATEWAY_QUEUES_OPTIONS)
 
 
 @register(PLACEMENT_POLICIES, "single_queue")
 def make_single_queue(service_name: str) -> SchedulingCore:
-    """Make one queue by tier and deadline with late binding, and no more."""
+    """Create a core with one queue by tier and deadline and no other rule."""
     return PomelolaneCore(service_name, SINGLE_QUEUE_OPTIONS)
--- a/src/pomelolane/scheduler/estimate.py
+++ b/src/pomelolane/scheduler/estimate.py
@@ -1,7 +1,7 @@
-"""Speeds of endpoints and lengths of answers, learnt from the streams.
+"""Estimators for speeds, answer lengths and arrival rates.
 
-Estimates decay, so that what an endpoint did a minute ago weighs little; until
-something was observed, declarations stand in.
+Old observations decay, so that an endpoint's behaviour a minute ago has little
+weight. Before the first observation, declared values are used.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 _LN_2 = 0.6931471805599453
 _MAX_RATIO = 4.0
-# Declared lengths are middling ones; some answers are far longer.
+# Declared lengths are typical ones; some answers are far longer.
 _PRIOR_RATIOS = (1.0, 1.0, 2.0)
-# Of a short, a middling and a long answer.
+# Of a short, a typical and a long answer.
 _QUANTILES = (0.1, 0.6, 0.98)
 _MAX_ANSWERS = 128
 _MIN_ANSWERS = 64
@@ -24,12 +24,12 @@
 
 
 class DecayingRate:
-    """Amount per millisecond over a decaying past, with a prior.
+    """Exponentially decaying estimate of a rate, with a prior.
 
     Args:
-        prior_per_ms: Rate to assume before anything was observed.
-        prior_ms: Weight of that assumption, as observed time.
-        half_life_ms: Observed time after which a sample counts half.
+        prior_per_ms: Rate assumed before the first observation.
+        prior_ms: Weight of the prior, as observed time.
+        half_life_ms: Observed time after which a sample's weight has halved.
     """
 
     __slots__ = ("_amount", "_half_life_ms", "_ms")
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedLength:
-    """Answer length to plan with.
+    """Quantiles of the expected answer length.
 
     Attributes:
         short_tokens: Few answers are shorter.
-        middle_tokens: About as many answers are longer as are shorter.
+        typical_tokens: About as many answers are longer as are shorter.
         long_tokens: Few answers are longer.
     """
 
@@ -71,11 +71,11 @@
 
 
 class _LengthRatios:
-    """Actual over expected lengths of the latest answers of one kind.
+    """Ratios of actual to expected length of the latest answers of one kind.
 
-    Of an answer that was cut, only what it had is known. It counts as long as
-    those answers were on average that came further, so that a plan which cuts
-    all long answers does not learn that there are none.
+    The full length of a cut answer is unknown. It is estimated as the mean of the
+    answers that were longer; otherwise a scheduler that cuts all long answers
+    would learn that there are none.
     """
 
     __slots__ = (
@@ -98,7 +98,7 @@
         self._summarise()
 
     def add(self, ratio: float, *, cut: bool) -> None:
-        """Take in an answer, whole or cut."""
+        """Add the ratio of a complete or cut answer."""
         ratio = min(_MAX_RATIO, ratio)
         if cut:
             ratio = self._estimate_full_ratio(ratio)
@@ -123,7 +123,7 @@
         self.long = self._sorted[long]
 
     def _estimate_full_ratio(self, ratio: float) -> float:
-        """Return what a cut answer's length was, as far as can be told."""
+        """Estimate the ratio that a cut answer would have had when complete."""
         longer = self._sorted[bisect_right(self._sorted, ratio) :]
         if not longer:
             return min(_MAX_RATIO, _CUT_FACTOR * ratio)
@@ -134,12 +134,12 @@
 
 
 class AnswerLengths:
-    """Answer lengths of one service, by work and organisation.
+    """Learns the answer lengths of one service by work and organisation.
 
-    An organisation of which little was seen is taken to be like the others.
+    An organisation with few answers so far uses the lengths of all organisations.
 
     Args:
-        enabled: Whether to learn; otherwise the expected length stands.
+        enabled: Whether to learn; otherwise the declared length is returned.
     """
 
     def __init__(self, *, enabled: bool = True) -> None:
@@ -150,7 +150,7 @@
     def expect(
         self, work: str, organisation: str, expected_tokens: int
     ) -> ExpectedLength:
-        """Return the answer length to plan with."""
+        """Return the expected length of an answer."""
         if not self._enabled:
             return ExpectedLength(expected_tokens, expected_tokens, expected_tokens)
         ratios = self._ratios.get((work, organisation), _UNKNOWN)
@@ -170,7 +170,7 @@
         *,
         cut: bool = False,
     ) -> None:
-        """Take in the length of an answer, or as much as came of a cut one."""
+        """Learn from an answer; of a cut one, `tokens` is the received part."""
         if expected_tokens <= 0 or tokens <= 0:
             return
         ratio = tokens / expected_tokens
@@ -183,19 +183,19 @@
 
 
 def needed_ms(typical_ms: float, long_ms: float, budget_ms: float) -> float:
-    """Return the time that a request should still have when it begins.
+    """Return the time that a request should have left when it starts.
 
-    That is enough for a long answer; but where a long answer would need most of
-    the whole budget, a request that begins early enough gets its chance.
+    That is enough for a long answer. Where a long answer needs most of the budget, a
+    request may still start while 80% of its budget is left.
     """
     return min(long_ms, max(typical_ms, _START_BUDGET_SHARE * budget_ms))
 
 
 class DecayingCount:
-    """A count whose older part fades with time, for arrival rates.
+    """Exponentially decaying count, for arrival rates.
 
     Args:
-        half_life_ms: Time after which an arrival counts half.
+        half_life_ms: Time after which an arrival's weight has halved.
     """
 
     __slots__ = ("_at_ms", "_half_life_ms", "_value")
@@ -206,15 +206,15 @@
         self._at_ms = 0.0
 
     def add(self, amount: float, now_ms: float) -> None:
-        """Count something now."""
+        """Add an amount at the current time."""
         self._value = self.read(now_ms) + amount
         self._at_ms = now_ms
 
     def read(self, now_ms: float) -> float:
-        """Return the faded count."""
+        """Return the decayed count."""
         age_ms = now_ms - self._at_ms
         return self._value * 0.5 ** (age_ms / self._half_life_ms)
 
     def rate_per_ms(self, now_ms: float) -> float:
-        """Return the rate that would keep the count where it is."""
+        """Return the rate at which the count would stay constant."""
         return self.read(now_ms) * _LN_2 / self._half_life_ms
--- a/src/pomelolane/scheduler/figures.py
+++ b/src/pomelolane/scheduler/figures.py
@@ -1,6 +1,6 @@
-"""What a decision core tells operators of the endpoints it places on.
+"""Speed and health of endpoints, as shown to operators.
 
-The figures are read when asked for; the core keeps nothing for them.
+The figures are computed on request from the core's state.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointFigures:
-    """An endpoint as its scheduler sees it.
+    """Speed and health of one endpoint.
 
     Attributes:
-        prefill_tokens_per_s: Observed prompt speed, 0 for plain services.
-        decode_tokens_per_s: Observed answer speed of one stream; requests a
-            second of one slot for plain services.
-        straggling: Whether it gets probes only.
-        slowdown: How many times slower than usual it was at the last judgement.
+        prefill_tokens_per_s: Observed prefill speed, 0 for plain services.
+        decode_tokens_per_s: Observed decode speed of one stream; for plain
+            services, requests per second of one slot.
+        straggling: Whether it is too slow and receives probes only.
+        slowdown: Ratio of usual to recent speed at the last check.
     """
 
     prefill_tokens_per_s: float
--- a/src/pomelolane/scheduler/fleet.py
+++ b/src/pomelolane/scheduler/fleet.py
@@ -1,7 +1,7 @@
-"""The endpoints of one service: which can take a grant, and how fast they are.
+"""The endpoints of one service, their availability and their speeds.
 
 Endpoints that can take a grant are kept sorted by their predicted time for a
-typical request, so that a placement looks at a few and not at all.
+typical request, so that a placement examines only a few of them.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One endpoint with its account and its health.
+    """One endpoint with its load, speed and health.
 
     Attributes:
-        account: Own account of what it does.
-        health: Whether it keeps its pace.
+        account: Load and speed estimates.
+        health: Health state.
+        open_key: Sort key among endpoints that can take a grant, or None.
     """
 
     account: EndpointState
@@ -44,25 +45,25 @@
 
     @property
     def endpoint_id(self) -> str:
-        """Its id."""
+        """Id of the endpoint."""
         return self.account.endpoint.endpoint_id
 
     @property
     def declared_leaving(self) -> bool:
-        """Whether its declaration says that it is leaving."""
+        """Whether the settings declare the endpoint as leaving."""
         return self.account.endpoint.leaving
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Speeds of the ready endpoints together, a fraction of a second old.
+    """Total capacity of the serving endpoints, up to 200 ms old.
 
     Attributes:
-        slots: Slots of all of them.
-        prefill_per_ms: Prompt speed of all.
-        decode_per_ms: Answer speed of all slots.
-        fastest: Accounts that some request could be served fastest by.
-        by_speed: Ready workers, fastest for a typical request first.
+        slots: Total number of slots.
+        prefill_per_ms: Total prefill speed, tokens per ms.
+        decode_per_ms: Total decode speed of all slots, tokens per ms.
+        fastest: Endpoints that are the fastest for some request.
+        by_speed: Serving endpoints, fastest for a typical request first.
     """
 
     slots: int
@@ -72,14 +73,14 @@
     by_speed: tuple[Worker, ...]
 
     def median_service_ms(self, prefill_tokens: int, decode_tokens: int) -> float:
-        """Return the predicted time on the endpoint of middle speed."""
+        """Return the predicted service time on the endpoint of median speed."""
         if not self.by_speed:
             return 0.0
         account = self.by_speed[len(self.by_speed) // 2].account
         return account.service_ms(prefill_tokens, decode_tokens)
 
     def drain_ms(self, backlog: Backlog) -> float:
-        """Return how long the endpoints need for what waits."""
+        """Return the predicted time to serve all waiting work."""
         if not self.by_speed or backlog.requests <= 0:
             return 0.0
         mean_ms = self.median_service_ms(
@@ -94,7 +95,7 @@
     """All endpoints of one service.
 
     Args:
-        options: Switches of the core.
+        options: Options of the core.
     """
 
     def __init__(self, options: CoreOptions) -> None:
@@ -113,13 +114,13 @@
     def configure(
         self, endpoints: Iterable[Endpoint], kind: ServiceKind, now_ms: float
     ) -> None:
-        """Adopt the declared endpoints; flights of known ones stay."""
+        """Apply the declared endpoints; keep the running requests of known ones."""
         declared = {endpoint.endpoint_id: endpoint for endpoint in endpoints}
         for endpoint_id in [i for i in self.workers if i not in declared]:
             worker = self.workers[endpoint_id]
             account = worker.account
             account.leaving = True
-            # As if declared as leaving, so that a new declaration reopens it.
+            # Marks the declaration as leaving, so that a new declaration reopens it.
             account.update_declaration(replace(account.endpoint, leaving=True))
             if not worker.account.running_requests:
                 self._close(worker)
@@ -139,14 +140,14 @@
         self.refresh_all(now_ms)
 
     def refresh_all(self, now_ms: float) -> None:
-        """Work out anew which endpoints can take a grant."""
+        """Recompute which endpoints can take a grant."""
         self._summary = None
         self._ready = sum(1 for worker in self.workers.values() if _is_ready(worker))
         for worker in self.workers.values():
             self.refresh(worker, now_ms)
 
     def health_changed(self, worker: Worker, now_ms: float) -> None:
-        """Take note that a worker's health state is another one."""
+        """Update the fleet after a change of an endpoint's health state."""
         if worker.health.state is HealthState.HEALTHY:
             self._unhealthy.pop(worker.endpoint_id, None)
         else:
@@ -160,7 +161,7 @@
             self.refresh(worker, now_ms)
 
     def refresh(self, worker: Worker, now_ms: float) -> None:
-        """Work out anew whether a worker can take a grant."""
+        """Recompute whether an endpoint can take a grant."""
         self._close(worker)
         account = worker.account
         if not self.may_serve(worker) or account.free_slots(now_ms) <= 0:
@@ -176,23 +177,23 @@
         insort(self._open, worker.open_key)
 
     def reopen_ready(self, now_ms: float) -> None:
-        """Open workers whose prompts ahead are nearly done."""
+        """Reopen endpoints whose prompts ahead are nearly processed."""
         while self._prefill_waits and self._prefill_waits[0][0] <= now_ms:
             worker = heapq.heappop(self._prefill_waits)[2]
             if worker.open_key is None:
                 self.refresh(worker, now_ms)
 
     def has_open(self) -> bool:
-        """Tell whether any worker can take a grant."""
+        """Return whether any endpoint can take a grant."""
         return bool(self._open)
 
     def open_workers(self, most: int) -> Iterator[Worker]:
-        """Yield the fastest workers that can take a grant."""
+        """Yield the fastest endpoints that can take a grant."""
         for _, endpoint_id in islice(self._open, most):
             yield self.workers[endpoint_id]
 
     def probes_due(self, now_ms: float) -> list[Worker]:
-        """Return unhealthy workers that should get one request to try."""
+        """Return unhealthy endpoints that are due a probe request."""
         return [
             worker
             for worker in self._unhealthy.values()
@@ -202,7 +203,7 @@
         ]
 
     def may_serve(self, worker: Worker) -> bool:
-        """Tell whether a worker serves; stragglers do if nobody else can."""
+        """Return whether an endpoint may serve; stragglers if no other is ready."""
         if worker.account.leaving:
             return False
         if worker.health.state is HealthState.HEALTHY:
@@ -214,7 +215,7 @@
         return self._ready
 
     def has_eligible(self, excluded: tuple[str, ...]) -> bool:
-        """Tell whether any endpoint is left that is not leaving."""
+        """Return whether any endpoint is neither leaving nor excluded."""
         return any(
             not worker.account.leaving and endpoint_id not in excluded
             for endpoint_id, worker in self.workers.items()
@@ -222,22 +223,22 @@
 
     @property
     def prefill_per_ms(self) -> float:
-        """Return the mean prompt speed of an endpoint when last summarised."""
+        """Mean prefill speed of an endpoint at the last summary, tokens per ms."""
         if self._summary is None or not self._summary.by_speed:
             return 0.0
         return self._summary.prefill_per_ms / len(self._summary.by_speed)
 
     def has_kv_capacity(self, tokens: int) -> bool:
-        """Tell whether any endpoint's KV cache is large enough at all."""
+        """Return whether any endpoint's whole KV cache could hold these tokens."""
         return tokens <= self._largest_kv_tokens
 
     def retry_ms(self, now_ms: float) -> float:
-        """Return when an unhealthy endpoint may be back."""
+        """Return the time until an unhealthy endpoint is probed next."""
         times = (w.health.retry_ms(now_ms) for w in self._unhealthy.values())
         return min(times, default=0.0)
 
     def summary(self, now_ms: float) -> Summary:
-        """Return what the ready endpoints can do together."""
+        """Return the total capacity of the serving endpoints."""
         if self._summary is None or now_ms - self._summary_ms > _SUMMARY_AGE_MS:
             self._summary = self._summarise()
             self._summary_ms = now_ms
@@ -288,7 +289,7 @@
 
 
 def _fastest(accounts: list[EndpointState]) -> tuple[EndpointState, ...]:
-    """Return the accounts that no other beats at both prompts and answers."""
+    """Return the endpoints that no other beats at both prefill and decoding."""
     by_prefill = sorted(
         accounts, key=lambda a: (a.prefill_per_ms, a.decode_per_ms), reverse=True
     )
--- a/src/pomelolane/scheduler/health.py
+++ b/src/pomelolane/scheduler/health.py
@@ -1,7 +1,7 @@
-"""Whether an endpoint keeps its pace, answers at all, or needs a probe.
+"""Health check of an endpoint: healthy, straggling or down.
 
-Token gaps, overdue first tokens and refused calls tell; a load report is never
-asked, because it describes the past.
+It uses token rates, overdue first tokens and refused calls. Load reports are not
+used, because they describe the past.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class HealthState(Enum):
-    """What may be granted to an endpoint."""
+    """Health state of an endpoint, which decides what it may be granted."""
 
     HEALTHY = "healthy"
     STRAGGLING = "straggling"
@@ -42,10 +42,10 @@
 
 
 class EndpointHealth:
-    """Judges one endpoint by its own streams.
+    """Tracks the health of one endpoint from the streams of its requests.
 
     Args:
-        judges_tokens: Whether token gaps mean anything, as with engines.
+        uses_token_rate: Whether the token rate indicates health, as for engines.
     """
 
     def __init__(self, *, uses_token_rate: bool = True) -> None:
@@ -63,7 +63,7 @@
         self._down_backoff_ms = _MIN_DOWN_BACKOFF_MS
 
     def record_grant(self, state: EndpointState, now_ms: float) -> None:
-        """Note a grant: silence counts from the first flight on."""
+        """Record a grant; silence is measured from the first running request on."""
         if len(state.running_requests) <= 1:
             self._last_event_ms = now_ms
         if self.state is not HealthState.HEALTHY:
@@ -75,7 +75,7 @@
     def observe(
         self, request: RunningRequest, event: StreamEvent, now_ms: float
     ) -> None:
-        """Learn from a stream event."""
+        """Update the state from a stream event."""
         if event.refused or event.outcome in _FAILURE_OUTCOMES:
             self._mark_down(request, now_ms)
             return
@@ -95,20 +95,20 @@
         self._update_state(now_ms)
 
     def check(self, state: EndpointState, now_ms: float) -> None:
-        """Look for silence and overdue first tokens; call often."""
+        """Detect silence and overdue first tokens; call on each tick."""
         if self.state is not HealthState.HEALTHY or not state.running_requests:
             return
         if self._is_silent(state, now_ms) and self._is_overdue(state, now_ms):
             self._mark_straggling(now_ms, float("inf"))
 
     def probe_due(self, state: EndpointState, now_ms: float) -> bool:
-        """Tell whether an unhealthy endpoint should get one request."""
+        """Return whether an unhealthy endpoint should get a probe request."""
         if now_ms < self._probe_ms:
             return False
         return not any(request.probe for request in state.running_requests.values())
 
     def retry_ms(self, now_ms: float) -> float:
-        """Return when the next probe may go out."""
+        """Return the time until the next probe may be sent."""
         return max(0.0, self._probe_ms - now_ms)
 
     def _is_silent(self, state: EndpointState, now_ms: float) -> bool:
@@ -116,7 +116,7 @@
         return now_ms - self._last_event_ms > max(_MIN_SILENCE_MS, gap_ms)
 
     def _is_overdue(self, state: EndpointState, now_ms: float) -> bool:
-        """Tell whether any flight should have been heard of by now."""
+        """Return whether any running request should have sent an event by now."""
         for request in state.running_requests.values():
             if request.started:
                 return True
@@ -130,7 +130,7 @@
     def _update_state(self, now_ms: float) -> None:
         has_answered = self._recovery_tokens >= _MIN_RECOVERY_TOKENS
         if self._baseline_tokens < _MIN_BASELINE_TOKENS:
-            # Without a usual pace, silence is all that it can be suspected of.
+            # Without a baseline speed, only silence can have marked it as straggling.
             if self.state is HealthState.STRAGGLING and has_answered:
                 self._mark_healthy()
             return
@@ -144,7 +144,7 @@
     def _judge_probe_without_tokens(
         self, request: RunningRequest, event: StreamEvent, now_ms: float
     ) -> None:
-        """Judge a probe that ends without tokens, as plain calls do."""
+        """Evaluate a probe that ends without tokens, as plain calls do."""
         if (
             self.state is HealthState.STRAGGLING
             and event.finished
@@ -180,5 +180,5 @@
 
 
 def _is_probe_without_tokens(request: RunningRequest) -> bool:
-    """Tell whether a probe has ended without any token to judge it by."""
+    """Return whether the request is a probe that produced no tokens."""
     return request.probe and request.decoded_tokens == 0
--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -1,7 +1,7 @@
 """Limits of teams and organisations on requests, tokens and concurrency.
 
-Rates are refused at once with the time at which they allow more; concurrency
-only holds a request back until another one ends.
+A request over a rate limit is refused at once with a retry time. A request over a
+concurrency limit waits until another one ends.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class _Account:
-    """One team's or organisation's use of its limits."""
+    """The limits of one team or organisation and its current usage."""
 
     __slots__ = ("limits", "requests", "running", "share", "tokens", "window")
 
@@ -56,7 +56,7 @@
 
 
 class UsageLimiter:
-    """All accounts that a service's scheduler enforces."""
+    """Enforces the limits of all teams and organisations for one service."""
 
     def __init__(self) -> None:
         self._teams: dict[str, _Account] = {}
@@ -70,10 +70,10 @@
         return max((account.limits.window_ms for account in accounts), default=0)
 
     def set_share(self, share: float, now_ms: float) -> None:
-        """Enforce a share of every rate, as one scheduler of several.
+        """Enforce only a share of every rate, as one of several schedulers.
 
-        A larger share waits for as long as uses count: what others let pass
-        until now is not known here.
+        A larger share takes effect only after the longest window has passed,
+        because the usage that others admitted until now is unknown here.
         """
         if share <= self._share:
             self._raised_ms = None
@@ -93,13 +93,18 @@
                 account.configure(account.limits, share)
 
     def assume_used(self, spare_part: float, now_ms: float) -> None:
-        """Count windows as used by earlier schedulers, but for a part of the spare."""
+        """Assume that earlier schedulers used all windows.
+
+        Args:
+            spare_part: Part of the tolerance beside the bound that stays usable.
+            now_ms: Current time.
+        """
         for account in (*self._teams.values(), *self._organisations.values()):
             if account.window is not None:
                 account.window.assume_used(spare_part, now_ms)
 
     def uses(self, now_ms: float) -> list[TokenUse]:
-        """Return what this scheduler let pass in the spans that still count."""
+        """Return the usage that this scheduler admitted in the current windows."""
         found = []
         for name, account in self._organisations.items():
             if account.window is not None:
@@ -107,22 +112,22 @@
         return found
 
     def unrecorded_share(self) -> float:
-        """Return the largest part of an allowance that is not on record yet."""
+        """Return the largest share of a tolerance that is used and not yet saved."""
         shares = (window.unrecorded_share() for window in self._windows())
         return max(shares, default=0.0)
 
     def mark_recorded(self) -> None:
-        """Take note that all that has passed until now is on record."""
+        """Mark all usage until now as saved."""
         for window in self._windows():
             window.mark_recorded()
 
     def unreported_share(self) -> float:
-        """Return the largest part of an allowance that is news to other schedulers."""
+        """Return the largest share of a tolerance not yet reported to others."""
         shares = (abs(window.unreported_share()) for window in self._windows())
         return max(shares, default=0.0)
 
     def take_unreported(self) -> list[TokenUse]:
-        """Return what passed since the last news; it counts as told then."""
+        """Return the usage since the last report and mark it as reported."""
         news = []
         for name, account in self._organisations.items():
             if account.window is None:
@@ -140,15 +145,16 @@
         *,
         adds: bool,
     ) -> None:
-        """Count what another scheduler tells that it let pass.
+        """Count usage that another scheduler reports.
 
-        An organisation has its limit once, over all schedulers and services.
+        An organisation's limit applies to all schedulers and services together.
 
         Args:
-            source: Whose account it is.
-            uses: What passed there.
-            now_ms: The time.
-            adds: Whether it comes on top of what was told before, or replaces it.
+            source: Service and scheduler that admitted the usage.
+            uses: The reported usage.
+            now_ms: Current time.
+            adds: Whether it is added to earlier reports of the source or replaces
+                them.
         """
         if not adds:
             for window in self._windows():
@@ -169,12 +175,12 @@
         return [one.window for one in accounts if one.window is not None]
 
     def guess_part(self, now_ms: float) -> float:
-        """Return the largest part of a limit that is counted as used by a guess."""
+        """Return the largest part of a limit that is only assumed to be used."""
         tracked = (window.guess_part(now_ms) for window in self._windows())
         return max(tracked, default=0.0)
 
     def guessed_organisations(self, now_ms: float) -> list[str]:
-        """Return the organisations whose limits are judged by a guess."""
+        """Return the organisations for which usage is partly assumed."""
         return [
             name
             for name, account in self._organisations.items()
@@ -184,12 +190,13 @@
     def replace_reported(
         self, uses: Iterable[TokenUse], now_ms: float, *, guess_part: float = 0.0
     ) -> None:
-        """Count what other schedulers let pass.
+        """Replace all usage of other schedulers by what they saved and reported.
 
         Args:
-            uses: What they have recorded and told.
-            now_ms: The time.
-            guess_part: Part of limits that those who told it count by a guess.
+            uses: The saved and reported usage.
+            now_ms: Current time.
+            guess_part: Part of limits that the reporting schedulers only assume to
+                be used.
         """
         for window in self._windows():
             window.clear_reported(guess_part)
@@ -197,7 +204,7 @@
             self._add_reported(use, use.source, now_ms)
 
     def configure(self, tree: Tree) -> None:
-        """Adopt a tree's limits; unchanged accounts keep their levels."""
+        """Apply the limits of a settings tree; unchanged ones keep their usage."""
         self._accounts_by_tenant.clear()
         for name, team in tree.teams.items():
             _configure_account(self._teams, name, team.limits, self._share)
@@ -207,12 +214,12 @@
             )
 
     def admit(self, handle: Handle, tokens: int, now_ms: float) -> Refusal | None:
-        """Charge a request's rates, or say when they allow it.
+        """Charge a request to its limits, or refuse it with a retry time.
 
-        A request that is tried again pays nothing, and rates that an earlier scheduler
-        charged are not charged again. A span holds here what waited under another
-        scheduler, which counts only what it lets pass itself; that is refused only
-        where too much is known to have passed.
+        A retried request is not charged. Rates that an earlier scheduler charged are
+        not charged again. A sliding window does charge a request that waited under
+        another scheduler, since that one counts only what it granted itself; such a
+        request is refused only where known usage is too high.
         """
         if handle.attempt > 0:
             return None
@@ -232,17 +239,17 @@
     def record_grant(
         self, handle: Handle, tokens: int, taken_ms: float, now_ms: float
     ) -> None:
-        """Count a request that gets a slot from now on.
+        """Move a request's charge to the time of its grant.
 
-        It runs now; counted from its arrival, those that wait together in a burst
-        run in a later span than they are counted in. A repeat of what has run counts
-        with the first send.
+        If requests were counted at arrival, a burst that waits together would run in
+        a later window than the one it is counted in. A retry is counted with the
+        first attempt.
 
         Args:
             handle: The request.
-            tokens: What it was charged.
-            taken_ms: When it was charged.
-            now_ms: The time.
+            tokens: Tokens charged on arrival.
+            taken_ms: Time of the charge.
+            now_ms: Time of the grant.
         """
         if handle.attempt > 0:
             return
@@ -251,21 +258,21 @@
                 account.window.record_passed(tokens, taken_ms, now_ms)
 
     def correct(self, handle: Handle, tokens: int) -> None:
-        """Charge tokens beyond the expected ones, or give some back."""
+        """Charge tokens beyond the expected ones; negative tokens refund."""
         for account in self._accounts(handle):
             if account.tokens is not None:
                 account.tokens.take(tokens)
 
     def give_back(self, handle: Handle, tokens: int, taken_ms: float = 0.0) -> None:
-        """Undo the charge of a request that was not run.
+        """Refund the charge of a request that was not run.
 
-        An earlier attempt that may have run was never taken from this book for this
-        handle, and rates that an earlier scheduler charged were not either.
+        Nothing is refunded for a retry, and no rates for a request that an earlier
+        scheduler admitted: they were not charged here.
 
         Args:
             handle: The request.
-            tokens: What it was charged.
-            taken_ms: When it was charged.
+            tokens: Tokens charged on arrival.
+            taken_ms: Time of the charge.
         """
         if handle.attempt > 0:
             return
@@ -276,7 +283,7 @@
                 _charge_rates(account, -1.0, -tokens)
 
     def is_at_concurrency_limit(self, handle: Handle) -> bool:
-        """Tell whether one of the request's concurrency limits is reached."""
+        """Return whether one of the request's concurrency limits is reached."""
         accounts = self._accounts(handle)
         return bool(accounts) and any(account.is_full() for account in accounts)
 
@@ -286,7 +293,7 @@
             account.running += 1
 
     def record_end(self, handle: Handle) -> None:
-        """Uncount a running request."""
+        """Remove a running request from the count."""
         for account in self._accounts(handle):
             account.running = max(0, account.running - 1)
 
@@ -315,7 +322,7 @@
 
 
 def _charge_rates(account: _Account, requests: float, tokens: float) -> None:
-    """Charge an account's rates; negative amounts give back."""
+    """Charge an account's rates; negative amounts refund."""
     if account.requests is not None:
         account.requests.take(requests)
     if account.tokens is not None:
@@ -323,7 +330,7 @@
 
 
 def _refuse_readmitted(account: _Account, tokens: int, now_ms: float) -> Refusal | None:
-    """Refuse what had room elsewhere only where too much is known to have passed."""
+    """Refuse a request admitted elsewhere only if known usage is too high."""
     if account.window is None or not account.window.is_over_tolerance(tokens, now_ms):
         return None
     return _window_refusal(account.window, tokens, now_ms)
@@ -332,7 +339,7 @@
 def _window_refusal(
     window: SlidingWindow, tokens: int, now_ms: float
 ) -> Refusal | None:
-    """Refuse what a span has no room for, and say whether a guess is the reason."""
+    """Refuse what does not fit; the reason tells if only assumed usage is at fault."""
     wait_ms = window.wait_ms(tokens, now_ms)
     if wait_ms <= 0:
         return None
--- a/src/pomelolane/scheduler/options.py
+++ b/src/pomelolane/scheduler/options.py
@@ -1,7 +1,7 @@
-"""Switches and constants of the decision core.
+"""Options of the default scheduling core.
 
-Each rule that a measurement speaks for has a switch here, so that its worth can
-be measured again by turning it off.
+Each rule that measurements justify has a switch, so that its benefit can be
+measured again with the rule disabled.
 """
 
 from __future__ import annotations
@@ -11,36 +11,37 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreOptions:
-    """What a decision core does, and how strongly.
+    """Enabled rules of a core and their constants.
 
     Attributes:
         fair_shares: Share a tier between teams and organisations by weight;
-            otherwise by deadline alone.
-        reserve: Keep room for bursts of higher tiers.
-        affinity: Prefer endpoints that hold a prefix of the prompt.
-        stragglers: Take grants from endpoints that have become slow.
-        refuse_unreachable: Refuse work that cannot meet its deadline.
-        predict_wait: Refuse at once what the queue ahead makes unreachable.
+            otherwise order it by deadline alone.
+        reserve: Reserve slots for bursts of higher tiers.
+        affinity: Prefer endpoints that cache a prefix of the prompt.
+        stragglers: Stop ordinary grants to endpoints that have become slow.
+        refuse_unreachable: Refuse requests that cannot meet their deadline.
+        predict_wait: Refuse on arrival requests whose predicted wait makes the
+            deadline unreachable.
         wait_for_better: Let a request wait for a busy endpoint that would
             finish it sooner than any free one.
-        wait_for_prefix: Let a request wait for a busy endpoint that holds a
+        wait_for_prefix: Let a request wait for a busy endpoint that caches a
             prefix of its prompt.
         bound_prefill: Keep prompts queued here while an engine's prefill is busy.
         learn_speeds: Use observed speeds; otherwise the declared ones.
-        sure_first: Give a slot to a request without time for a long answer only
-            where none that has it waits in its tier.
-        learn_lengths: Use observed answer lengths; otherwise the expected ones.
-        prefill_lookahead_ms: Prefill work that an engine may have ahead and
-            still take a grant.
-        safety_factor: Margin on predicted service times against deadlines.
+        sure_first: Grant a slot to a request without time for a long answer only
+            if no request of its tier has that time.
+        learn_lengths: Use observed answer lengths; otherwise the declared ones.
+        prefill_lookahead_ms: Largest prefill backlog with which an engine may
+            still be granted a request.
+        safety_factor: Factor on predicted service times in deadline checks.
         chance_factor: The same for requests without time for a long answer.
-        prefix_weight: Worth of not processing a prompt again, as a multiple of
-            the time that it would take.
-        predict_wait_margin: How many times the predicted wait must rule the
-            deadline out before a request is refused on arrival.
-        reserve_window_ms: Time over which arrivals are counted as one burst.
-        reserve_memory_ms: Time after which a burst counts half.
-        reserve_limit: Largest share of slots kept.
+        prefix_weight: Weight of the prefill time of uncached prompt tokens in the
+            placement score.
+        predict_wait_margin: A request is refused on arrival if its predicted wait
+            exceeds its slack by this factor.
+        reserve_window_ms: Half-life of the arrival rate that measures a burst.
+        reserve_memory_ms: Half-life of the highest recent arrival rate.
+        reserve_limit: Largest share of slots that may be reserved.
         default_slot_share: Share of each endpoint's slots used at the start.
     """
 
--- a/src/pomelolane/scheduler/out_of_order.py
+++ b/src/pomelolane/scheduler/out_of_order.py
@@ -1,7 +1,7 @@
-"""Who gets a slot that the usual order leaves free, and who probes a straggler.
+"""Selects requests outside the queue order, for free slots and for probes.
 
-A request that has no time for a middling answer any more is refused only when a short
-one would be late, too; until then a lower tier must not have taken its place.
+A waiting request is refused only when even a short answer would be late. Until then,
+a slot that it could use must not go to a lower tier.
 """
 
 from __future__ import annotations
@@ -23,48 +23,49 @@
     Selection = tuple[WaitingRequest, Placement]
 
 MAX_DEFERRED_FOR_SLOT = 16
-"""Deferred requests of a tier that are looked at for a free slot, at each decision."""
+"""Deferred requests of a tier that are tried for a free slot per decision."""
 
 MAX_DEFERRED_FOR_PROBE = 256
-"""The same for a probe, of which there is one a second: the first ones are due at once
-and would be late on an endpoint that is a little slower than the best."""
+"""Deferred requests of a tier that are tried for a probe. The limit is higher because
+probes are sent about once per second, and because the first requests are due so soon
+that they would be late on an endpoint a little slower than the best."""
 
 
 class OutOfOrderSelector:
-    """Chooses requests beside the usual order.
+    """Selects requests outside the queue order.
 
     Args:
-        queue: What waits.
-        placer: Predicts requests on endpoints.
-        flights: Knows whose concurrency is used up.
-        options: Switches of the core.
-        may_go: Tells whether limits and the reserve let a request have a slot.
+        queue: The waiting requests.
+        placer: Predicts the times of requests on endpoints.
+        running: The running requests, for concurrency limits.
+        options: Options of the core.
+        may_dispatch: Returns whether limits and the reserve allow a grant.
     """
 
     def __init__(
         self,
         queue: FairQueue,
         placer: Placer,
-        flights: RunningRequests,
+        running: RunningRequests,
         options: CoreOptions,
         may_dispatch: Callable[[WaitingRequest, float], bool],
     ) -> None:
         self._queue = queue
         self._placer = placer
-        self._running = flights
+        self._running = running
         self._options = options
         self._may_dispatch = may_dispatch
 
     def select_for_slot(
         self, rank: int, held: set[str], now_ms: float
     ) -> Selection | None:
-        """Return one of a tier that a short answer in a free slot would save.
+        """Return a deferred request that a free slot saves if its answer is short.
 
         Args:
-            rank: The tier, of which nothing can go in the usual order: those that have
-                time may be excluded from what is free.
-            held: Endpoints that other requests wait for.
-            now_ms: The time.
+            rank: A tier without a request that can be placed in queue order; those
+                with enough time may exclude the free endpoints.
+            held: Endpoints held for other requests.
+            now_ms: Current time.
         """
 
         def place(waiting: WaitingRequest) -> Placement | None:
@@ -75,11 +76,11 @@
         return self._select_deferred(rank, place, MAX_DEFERRED_FOR_SLOT)
 
     def select_for_probe(self, worker: Worker, now_ms: float) -> Selection | None:
-        """Return the request that tries an endpoint which was slow.
+        """Return the request that probes an unhealthy endpoint.
 
-        It is one of the lowest tier, since higher ones are to be spared the risk, but
-        for those that nothing else can save: the others of their tier, which have time,
-        go before them everywhere else.
+        A deferred request that only a short answer can finish in time comes first,
+        because elsewhere all others of its tier go before it. Otherwise it is a
+        request of the lowest tier, to spare higher tiers the risk.
         """
         return self._select_urgent_for_probe(
             worker, now_ms
@@ -102,7 +103,7 @@
     def _select_deferred(
         self, rank: int, place: Callable[[WaitingRequest], Placement | None], most: int
     ) -> Selection | None:
-        """Return the first deferred request of a tier that finds a place."""
+        """Return the first deferred request of a tier that can be placed."""
         if not self._queue.has_deferred(rank):
             return None
         with closing(self._queue.scan(rank)) as requests:
--- a/src/pomelolane/scheduler/rate_limiting.py
+++ b/src/pomelolane/scheduler/rate_limiting.py
@@ -1,4 +1,4 @@
-"""What may pass in a time: a bucket that fills at a rate, and a sliding span."""
+"""Rate limiters: a token bucket and a sliding window."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 _BURST_MS = 1_000.0
 _USE_STEP_MS = 250
-"""Uses are summed up by so much of their age for the record."""
+"""Saved usage is summed up in age steps of this length."""
 
 _UNRECORDED_PART = 0.15
-"""Part of a guess that is kept beside a record, which is up to a second old in a
-span of several."""
+"""Part of the assumed usage that is kept after saved usage was read, which is up to a
+second old while a window lasts several seconds."""
 
 
 _MOVED_PART = 0.25
-"""Part of what is allowed beside a bound for what moves from scheduler to scheduler
-while it waits; it had room where it came from."""
+"""Part of the tolerance beside the bound for requests that move to another scheduler
+while they wait; the earlier scheduler had room for them."""
 
 
 class TokenBucket:
-    """A bucket that fills at a rate and may be overdrawn once.
+    """Token bucket whose level may become negative.
 
-    A single amount larger than the bucket passes when it is full and leaves a
-    debt, so that the rate holds on average whatever the sizes are.
+    An amount larger than the capacity passes when the bucket is full and leaves a
+    negative level, so that the average rate holds for any amount.
 
     Args:
-        per_s: Rate, more than 0.
-        burst: Capacity, 0 for what the rate brings in a second.
+        per_s: Rate per second, more than 0.
+        burst: Capacity; 0 for the amount of one second.
     """
 
     __slots__ = ("_at_ms", "_capacity", "_level", "_per_ms")
@@ -49,7 +49,7 @@
         return max(0.0, missing / self._per_ms)
 
     def take(self, amount: float) -> None:
-        """Let an amount pass; a negative one gives back."""
+        """Take an amount; a negative one refunds."""
         self._level = min(self._capacity, self._level - amount)
 
     def _fill(self, now_ms: float) -> None:
@@ -60,15 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenUse:
-    """What an organisation used of its limit.
+    """Tokens that an organisation used of its limit.
 
     Attributes:
-        organisation: Who.
-        age_ms: How long ago.
-        tokens: How much.
-        scheduler: Start of a VM that let it pass, empty for this one.
-        bound: What a span could hold when it passed, 0 where that is not known.
-        service: The service that it was for, where several are told of together.
+        organisation: Name of the organisation.
+        age_ms: Time since they were admitted.
+        tokens: Number of tokens.
+        scheduler: Scheduler that admitted them, as VM id and start ("vm-1/1");
+            empty for this one.
+        bound: Bound of the window when they were admitted, 0 if unknown.
+        service: Service they were used for, where several are reported together.
     """
 
     organisation: str
@@ -80,23 +81,23 @@
 
     @property
     def source(self) -> tuple[str, str]:
-        """Whose account it is from: the service and the start of a VM."""
+        """Where the usage was admitted: the service and the scheduler."""
         return self.service, self.scheduler
 
 
 class _Entry(NamedTuple):
-    """An amount that has passed, and what a span could hold then."""
+    """Admitted tokens, and the bound of the window at that time."""
 
     at_ms: float
     tokens: float
     bound: float
 
     def scaled_tokens(self, bound: float) -> float:
-        """Return what it counts for under a bound.
+        """Return the tokens to count under a bound.
 
-        Under a lower one it is the same part of it: else a lowered limit would refuse
-        everything for a whole span. The amount itself stays, so that a limit which is
-        raised again has not forgotten it.
+        A lower bound counts the same fraction of itself; otherwise a lowered limit
+        would refuse everything for a whole window. The stored amount stays, so that
+        it counts in full when the limit is raised again.
         """
         if bound >= self.bound:
             return self.tokens
@@ -104,16 +105,16 @@
 
 
 class SlidingWindow:
-    """Bounds what any span of one length may hold.
+    """Limits the tokens in any time window of a fixed length.
 
-    A new window does not know what earlier schedulers let pass. Until those who
-    know have told, it counts so much as used that both together keep within
-    the bound and what is allowed beside it.
+    A new scheduler does not know the usage that earlier ones admitted. Until it is
+    reported, the window assumes enough usage that all schedulers together stay
+    within the bound plus its tolerance.
 
     Args:
-        bound: Most that a span may hold.
-        window_ms: Length of the span.
-        spare: What is allowed beside the bound, for counting apart.
+        bound: Maximum tokens in a window.
+        window_ms: Length of the window.
+        spare: Tolerance beside the bound, for schedulers that count separately.
     """
 
     __slots__ = (
@@ -148,21 +149,21 @@
         self._used = 0.0
 
     def assume_used(self, spare_part: float, now_ms: float) -> None:
-        """Count the bound as used elsewhere just now.
+        """Assume that the bound was just used by other schedulers.
 
         Args:
-            spare_part: Part of what is allowed beside the bound that may pass still.
-            now_ms: The time.
+            spare_part: Part of the tolerance beside the bound that stays usable.
+            now_ms: Current time.
         """
         self._assumed = max(0.0, self._bound - spare_part * self._spare)
         self._assumed_part = 1.0
         self._assumed_until_ms = now_ms + self._window_ms
 
     def clear_reported(self, guess_part: float = 0.0) -> None:
-        """Forget what others let pass, but a part of the guess: some is unrecorded.
+        """Remove reported usage; keep part of the assumed one, as some is never saved.
 
         Args:
-            guess_part: Part of the bound that those who tell it anew count by a guess.
+            guess_part: Part of the bound that the reporting schedulers only assume.
         """
         self._reported.clear()
         self._recount()
@@ -172,24 +173,24 @@
             self._assumed_part = part
 
     def guess_part(self, now_ms: float) -> float:
-        """Return the part of the bound that is counted as used by a guess."""
+        """Return the part of the bound that is only assumed to be used."""
         self._drop_expired(now_ms)
         return self._assumed_part if self._assumed > 0 else 0.0
 
     def is_full_without_guess(self, amount: float, now_ms: float) -> bool:
-        """Tell whether an amount has no room by what is known to have passed."""
+        """Return whether known usage alone leaves no room for an amount."""
         self._drop_expired(now_ms)
         return self._used + min(amount, self._bound) > self._bound
 
     def unrecorded_share(self) -> float:
-        """Return the tokens since the last record as a part of what is allowed beside.
+        """Return the tokens not yet saved, as a share of the tolerance.
 
-        Where nothing is allowed beside the bound, they are a part of the bound.
+        Without a tolerance, it is their share of the bound.
         """
         return self._share_of(self._unrecorded)
 
     def unreported_share(self) -> float:
-        """Return the same of the tokens since the last news."""
+        """Return the tokens not yet reported, as a share of the same."""
         return self._share_of(self._unreported)
 
     def _share_of(self, tokens: float) -> float:
@@ -197,17 +198,17 @@
         return tokens / allowed if allowed > 0 else 1.0
 
     def take_unreported(self) -> tuple[int, int]:
-        """Return the tokens since the last news, and the bound; they are told then."""
+        """Return unreported tokens and the bound; mark the tokens as reported."""
         tokens = round(self._unreported)
         self._unreported = 0.0
         return tokens, round(self._bound)
 
     def mark_recorded(self) -> None:
-        """Take note that what has passed until now is on record."""
+        """Mark all usage until now as saved."""
         self._unrecorded = 0.0
 
     def uses(self, organisation: str, now_ms: float) -> list[TokenUse]:
-        """Return what this scheduler let pass, summed up by steps of its age."""
+        """Return the usage admitted by this scheduler, summed up in age steps."""
         self._drop_expired(now_ms)
         sums: dict[tuple[int, int], float] = {}
         for at_ms, tokens, bound in self._passed:
@@ -226,24 +227,24 @@
         bound: float = 0.0,
         source: tuple[str, str] = ("", ""),
     ) -> None:
-        """Count an amount that passed under another scheduler.
+        """Count an amount that another scheduler admitted.
 
         Args:
-            amount: How much.
-            at_ms: When.
-            bound: What a span could hold there, 0 for as much as here.
-            source: Whose account it is from.
+            amount: Number of tokens.
+            at_ms: Time of admission.
+            bound: Bound of the window there, 0 for the bound here.
+            source: Service and scheduler that admitted it.
         """
         passed = _Entry(at_ms, amount, bound or self._bound)
         self._add_entry(self._reported.setdefault(source, []), passed)
 
     def drop_reported(self, source: tuple[str, str]) -> None:
-        """Drop what one account held: all of it is told anew."""
+        """Remove the usage of one source, before it is reported anew."""
         if self._reported.pop(source, None):
             self._recount()
 
     def configure(self, bound: float, spare: float) -> None:
-        """Go on under another bound."""
+        """Change the bound and the tolerance."""
         if 0 < bound < self._bound:
             self._assumed *= bound / self._bound
         self._bound = bound
@@ -253,7 +254,7 @@
     def wait_ms(self, amount: float, now_ms: float) -> float:
         """Return how long until an amount may pass, 0 for now.
 
-        Those who are told to come back get room one after the other.
+        A wait reserves room, so that callers told to retry get it one after another.
         """
         self._drop_expired(now_ms)
         over = self._used + self._assumed + min(amount, self._bound) - self._bound
@@ -272,31 +273,31 @@
         return wait_ms
 
     def is_over_tolerance(self, amount: float, now_ms: float) -> bool:
-        """Tell whether an amount is too much by what is known to have passed.
+        """Return whether known usage plus an amount exceeds the bound by too much.
 
-        A guess does not count, and a part of what is allowed beside the bound is kept
-        for amounts that had room under another scheduler.
+        Assumed usage does not count. Part of the tolerance beside the bound is
+        allowed, for amounts that another scheduler had room for.
         """
         self._drop_expired(now_ms)
         most = self._bound + _MOVED_PART * self._spare
         return self._used + amount > most
 
     def take(self, amount: float, now_ms: float) -> None:
-        """Keep room for an amount that waits to pass."""
+        """Reserve room for an amount that waits for a slot."""
         self._add_entry(self._waiting, _Entry(now_ms, amount, self._bound))
 
     def give_back(self, amount: float, taken_ms: float) -> None:
-        """Undo an amount that was taken, or has passed, at a time."""
+        """Refund an amount that was reserved or admitted at a time."""
         if not self._remove_entry(
             self._waiting, amount, taken_ms
         ) and self._remove_entry(self._passed, amount, taken_ms):
             self._unreported -= amount
 
     def record_passed(self, amount: float, taken_ms: float, now_ms: float) -> None:
-        """Let an amount pass for which room was kept since a time.
+        """Move a reserved amount to the admitted ones.
 
-        It counts from now on, here and for all who are told: whoever lets it pass
-        counts it, whatever became of it before.
+        It counts from now on, here and for schedulers that receive reports: the
+        scheduler that grants a request counts it, whoever admitted it before.
         """
         self._remove_entry(self._waiting, amount, taken_ms)
         self._add_entry(self._passed, _Entry(now_ms, amount, self._bound))
@@ -304,7 +305,7 @@
         self._unreported += amount
 
     def _remove_entry(self, uses: list[_Entry], amount: float, taken_ms: float) -> bool:
-        """Remove an amount, unless it counts no more."""
+        """Remove an amount, unless it has expired; return whether it was found."""
         first = bisect_left(uses, (taken_ms, amount))
         if first == len(uses) or uses[first][:2] != (taken_ms, amount):
             return False
@@ -316,7 +317,7 @@
         self._used += passed.scaled_tokens(self._bound)
 
     def _recount(self) -> None:
-        """Count anew all that has passed, under the present bound."""
+        """Recompute the sum of all usage under the current bound."""
         passed = chain(self._waiting, self._passed, *self._reported.values())
         self._used = sum(one.scaled_tokens(self._bound) for one in passed)
 
@@ -331,5 +332,5 @@
         for source in [name for name, uses in self._reported.items() if not uses]:
             del self._reported[source]
         if not self._waiting and not self._passed and not self._reported:
-            # No rounding is carried on.
+            # Prevents rounding errors from accumulating.
             self._used = 0.0
--- a/src/pomelolane/scheduler/recent.py
+++ b/src/pomelolane/scheduler/recent.py
@@ -1,4 +1,4 @@
-"""Ids of requests that have ended lately, so that a late repeat is recognised."""
+"""Ids of recently ended requests, so that a late duplicate is recognised."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RecentIds:
-    """A set of ids that forgets the old ones."""
+    """Set of request ids whose entries expire after a minute."""
 
     def __init__(self) -> None:
         self._ended_ms: OrderedDict[str, float] = OrderedDict()
@@ -18,13 +18,13 @@
         return request_id in self._ended_ms
 
     def add(self, request_id: str, now_ms: float) -> None:
-        """Remember an id."""
+        """Add an id; above the size limit, the oldest is removed."""
         self._ended_ms[request_id] = now_ms
         if len(self._ended_ms) > _KEEP_MOST:
             self._ended_ms.popitem(last=False)
 
     def purge(self, now_ms: float) -> None:
-        """Forget what is older than a minute."""
+        """Remove expired ids."""
         while self._ended_ms:
             oldest = next(iter(self._ended_ms))
             if now_ms - self._ended_ms[oldest] <= _KEEP_MS:
--- a/src/pomelolane/scheduler/reserve.py
+++ b/src/pomelolane/scheduler/reserve.py
@@ -1,7 +1,7 @@
-"""Room kept for the next burst of higher tiers, in step with recent ones.
+"""Reserves slots for bursts of higher tiers, by the size of recent bursts.
 
-Only work that would hold its slot longer than the higher tiers can wait is held
-back, and only while recent arrivals speak for a burst.
+Only requests that would occupy a slot for longer than the higher tiers can wait are
+held back, and only while recent arrivals make a burst likely.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class _TierDemand:
-    """Recent arrivals of one tier and what they needed."""
+    """Recent arrival rate of one tier, with mean slot time and slack."""
 
     __slots__ = (
         "_arrivals",
@@ -54,12 +54,12 @@
         return self._peak * 0.5 ** (age_ms / self._memory_ms)
 
     def slots(self, now_ms: float) -> float:
-        """Return the slots that a burst like the recent ones would hold."""
+        """Return the slots that a burst like the recent ones would occupy."""
         return self.peak_per_ms(now_ms) * self.hold_ms
 
 
 class _EndTimes:
-    """When things that are going on should end, countable by time."""
+    """Expected end times of running requests, countable by time."""
 
     __slots__ = ("_by_id", "_sorted")
 
@@ -82,10 +82,10 @@
 
 
 class Reserve:
-    """Bounds how much long work of lower tiers may hold at one time.
+    """Limits the slots that long requests of lower tiers occupy at one time.
 
     Args:
-        options: Switches of the core.
+        options: Options of the core.
     """
 
     def __init__(self, options: CoreOptions) -> None:
@@ -96,13 +96,13 @@
     def record_arrival(
         self, rank: int, hold_ms: float, slack_ms: float, now_ms: float
     ) -> None:
-        """Note an arrival.
+        """Record the arrival of a request.
 
         Args:
-            rank: Its tier.
-            hold_ms: How long it should hold a slot.
-            slack_ms: How long it could wait and still meet its deadline.
-            now_ms: The time.
+            rank: Rank of its tier.
+            hold_ms: Expected time that it occupies a slot.
+            slack_ms: Longest wait with which it still meets its deadline.
+            now_ms: Current time.
         """
         demand = self._tiers.get(rank)
         if demand is None:
@@ -114,7 +114,7 @@
     def allows(
         self, rank: int, hold_ms: float, total_slots: int, now_ms: float
     ) -> bool:
-        """Tell whether work of a tier may take a slot for so long."""
+        """Return whether a request of a tier may occupy a slot for `hold_ms`."""
         wanted, patience_ms = self._higher_tier_demand(rank, now_ms)
         if wanted < _MIN_SLOTS or hold_ms <= patience_ms:
             return True
@@ -123,15 +123,15 @@
         return held < _allowance(total_slots, share)
 
     def record_grant(self, request_id: str, end_ms: float) -> None:
-        """Note that a slot is taken, and when it should be free again."""
+        """Record that a slot is occupied, and its expected end time."""
         self._end_times.set(request_id, end_ms)
 
     def record_end(self, request_id: str) -> None:
-        """Note that a slot is free again."""
+        """Record that a slot is free again."""
         self._end_times.discard(request_id)
 
     def _higher_tier_demand(self, rank: int, now_ms: float) -> tuple[float, float]:
-        """Return slots wanted by higher tiers and how long they can wait."""
+        """Return the slots that higher tiers need and how long they can wait."""
         slots = 0.0
         patience_ms = math.inf
         for other, demand in self._tiers.items():
@@ -146,5 +146,5 @@
 
 
 def _allowance(whole: int, kept_share: float) -> int:
-    """Return how much long work may hold; one at least, so that it moves."""
+    """Return the slots for long requests; at least one, so that they progress."""
     return max(1, whole - math.ceil(whole * kept_share))
--- a/src/pomelolane/scheduler/running.py
+++ b/src/pomelolane/scheduler/running.py
@@ -1,7 +1,7 @@
-"""The dispatched requests of a service and everything that they hold.
+"""The running requests of a service and the resources that they occupy.
 
-Begin and end of a flight move all accounts together: slots, memory, shares,
-limits, reserve and the record of prefixes.
+The start and end of a request update all dependent state together: slots, KV cache,
+fair shares, limits, burst reserve and the prefix index.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackedState:
-    """The accounts that a flight moves.
+    """The state that the start and end of a running request update.
 
     Attributes:
-        queue: Shares of organisations.
-        fleet: Endpoints.
-        prefixes: Record of cached prefixes.
-        lengths: Answer lengths.
+        queue: Fair shares of organisations.
+        fleet: Endpoints of the service.
+        prefixes: Index of cached prefixes.
+        lengths: Learnt answer lengths.
         limits: Limits of teams and organisations.
-        reserve: Room for higher tiers.
+        reserve: Slots reserved for bursts of higher tiers.
     """
 
     queue: FairQueue
@@ -51,8 +51,8 @@
     """All requests that were granted and have not ended.
 
     Args:
-        parts: Accounts to move.
-        options: Switches of the core.
+        tracked: State to update.
+        options: Options of the core.
     """
 
     def __init__(self, tracked: TrackedState, options: CoreOptions) -> None:
@@ -67,13 +67,13 @@
         return request_id in self._requests or request_id in self._recent
 
     def placement_of(self, request_id: str) -> Placement | None:
-        """Return the prediction behind a flight."""
+        """Return the prediction on which a running request was granted."""
         return self._placements.get(request_id)
 
     def begin(
         self, waiting: WaitingRequest, placement: Placement, now_ms: float
     ) -> None:
-        """Account for a grant."""
+        """Add a granted request."""
         self._add(_make_running_request(waiting, placement, now_ms), placement, now_ms)
 
     def register(
@@ -83,17 +83,17 @@
         running: RunningHandle,
         now_ms: float,
     ) -> None:
-        """Account for a request that an earlier scheduler granted."""
+        """Add a running request that an earlier scheduler granted."""
         request = _make_running_request(waiting, placement, now_ms)
         request.started = running.started
         request.decoded_tokens = running.decoded_tokens
         self._add(request, placement, now_ms)
 
     def observe(self, event: StreamEvent, now_ms: float) -> bool:
-        """Learn from a stream event.
+        """Update the state from a stream event.
 
         Returns:
-            False where it belongs to no flight.
+            False if the event belongs to no running request.
         """
         request = self._requests.get(event.request_id)
         if request is None:
@@ -116,7 +116,7 @@
         return True
 
     def end(self, request_id: str, now_ms: float) -> RunningRequest | None:
-        """Free what a flight holds."""
+        """Remove a request and free its resources."""
         request = self._requests.pop(request_id, None)
         if request is None:
             return None
@@ -129,7 +129,7 @@
         return request
 
     def check(self, now_ms: float) -> None:
-        """Look for silent endpoints and forget old ids; call on each tick."""
+        """Check endpoint health and remove expired ids; call on each tick."""
         self._recent.purge(now_ms)
         for worker in self._tracked.fleet.workers.values():
             account = worker.account
@@ -139,7 +139,7 @@
                 self._tracked.fleet.refresh(worker, now_ms)
 
     def park_if_limited(self, handle: Handle) -> bool:
-        """Pass over an organisation that is at its concurrency limit."""
+        """Park an organisation at its concurrency limit; return whether it is."""
         if not self._tracked.limits.is_at_concurrency_limit(handle):
             return False
         self._parked[handle.organisation] = handle.team
@@ -147,11 +147,11 @@
         return True
 
     def is_parked(self, handle: Handle) -> bool:
-        """Tell whether a request waits for its concurrency limit."""
+        """Return whether a request waits because of a concurrency limit."""
         return handle.organisation in self._parked
 
     def unpark_all(self) -> None:
-        """Consider all organisations again."""
+        """Unpark all organisations."""
         for organisation in self._parked:
             self._tracked.queue.unpark(organisation)
         self._parked.clear()
--- a/src/pomelolane/scheduler/waiting.py
+++ b/src/pomelolane/scheduler/waiting.py
@@ -1,6 +1,6 @@
-"""A waiting request, and sums of waiting work.
+"""Waiting requests and sums of waiting work.
 
-They are shared by the queue, admission and placement.
+The queue, admission and placement share these types.
 """
 
 from __future__ import annotations
@@ -19,19 +19,20 @@
     """One waiting request.
 
     Attributes:
-        handle: As the gateway sent it.
-        submitted_ms: When it came.
-        deadline_ms: When its last byte is due, on the core's clock.
+        handle: The request as submitted by the gateway.
+        submitted_ms: Time of arrival.
+        deadline_ms: Time by which the last byte is due, on the core's clock.
         short_decode_tokens: Answer length that few answers stay below.
-        decode_tokens: Expected answer length as learnt.
+        decode_tokens: Typical answer length, as learnt.
         long_decode_tokens: Answer length that few answers exceed.
         queued: Whether it still waits.
-        last_start_ms: When it must begin to be in time with a short answer.
-        middle_start_ms: The same with a middling answer.
-        safe_start_ms: The same with a long answer.
-        deferred: Whether it goes after all others because a long answer would
-            be late.
-        predicted_wait_ms: Plain prediction of its wait when it came.
+        last_start_ms: Latest start time for a short answer to be in time.
+        typical_start_ms: The same for a typical answer.
+        safe_start_ms: The same for a long answer.
+        deferred: Whether it is ordered after the others of its organisation,
+            because a long answer would be late.
+        predicted_wait_ms: Wait predicted on arrival, uncorrected; 0 if not
+            predicted.
     """
 
     handle: Handle
@@ -49,23 +50,23 @@
 
     @property
     def order_ms(self) -> float:
-        """Its place inside its organisation."""
+        """Sort key among the requests of its organisation."""
         return self.deadline_ms + (_DEFERRED_MS if self.deferred else 0.0)
 
     @property
     def cost_tokens(self) -> int:
-        """Tokens charged against the organisation's share."""
+        """Tokens charged to the organisation's fair share."""
         return self.handle.prefill_tokens + self.decode_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Backlog:
-    """Work that waits.
+    """Sum of waiting work.
 
     Attributes:
-        requests: How many.
-        prefill_tokens: Their prompt tokens.
-        decode_tokens: Their expected answer tokens.
+        requests: Number of requests.
+        prefill_tokens: Total prompt tokens.
+        decode_tokens: Total expected answer tokens.
     """
 
     requests: float
