--- a/tests/scheduler/admission.feature
+++ b/tests/scheduler/admission.feature
@@ -1,21 +1,21 @@
-Feature: Who is refused, why, and when to come back
-  A refusal is decided at once, says that nothing was run, and never falls on a
-  higher tier while a lower one holds a place.
+Feature: Admission control
+  A refusal is decided at once, has the outcome "not run", and never affects a
+  higher tier while a lower one waits in the queue.
 
   Background:
     Given a core with a queue of 3 and the endpoints
       | endpoint | slots | prefill_tokens_per_s | decode_tokens_per_s |
       | only     | 2     | 1000                 | 50                  |
 
-  Scenario: Work that no endpoint can do in time is refused before its prefill
-    When the core is given the requests
+  Scenario: A request that no endpoint can finish in time is refused on arrival
+    When the core receives the requests
       | id | tier | prefill | decode | budget_ms |
       | a  | 0    | 5000    | 10     | 4000      |
     Then the core refused "a" as "deadline_unreachable"
 
-  Scenario: A waiting request is refused as soon as it cannot be in time
+  Scenario: A waiting request is refused once it cannot meet its deadline
     Given the core's slots are all taken by tier 1
-    When the core is given the requests
+    When the core receives the requests
       | id | tier | prefill | decode | budget_ms |
       | a  | 0    | 1000    | 50     | 5000      |
     And 2000 ms pass for the core
@@ -23,22 +23,22 @@
     When 1500 ms pass for the core
     Then the core refused "a" as "deadline_unreachable"
 
-  Scenario: A higher tier displaces the youngest of the lowest tier
+  Scenario: A higher tier displaces the newest request of the lowest tier
     Given the core's slots are all taken by tier 1
-    When the core is given the requests
+    When the core receives the requests
       | id   | tier | decode |
       | low1 | 2    | 10     |
       | low2 | 2    | 10     |
       | mid  | 1    | 10     |
       | high | 0    | 10     |
     Then the core refused "low2" as "displaced"
-    And the core's refusal of "low2" says when to come back
+    And the core's refusal of "low2" gives a retry time
     And the core has not decided "high"
     And the core has not decided "low1"
 
-  Scenario: The lowest tier is refused when the queue is full of higher ones
+  Scenario: The lowest tier is refused when higher ones fill the queue
     Given the core's slots are all taken by tier 1
-    When the core is given the requests
+    When the core receives the requests
       | id  | tier | decode |
       | h1  | 0    | 10     |
       | h2  | 0    | 10     |
@@ -46,9 +46,9 @@
       | low | 1    | 10     |
     Then the core refused "low" as "queue_full"
 
-  Scenario: A flooding organisation gives a place to one within its share
+  Scenario: An organisation within its share displaces one that is over it
     Given the core's slots are all taken by tier 1
-    When the core is given the requests
+    When the core receives the requests
       | id | tier | organisation | decode |
       | f1 | 1    | flooding     | 10     |
       | f2 | 1    | flooding     | 10     |
@@ -57,19 +57,19 @@
     Then the core refused "f3" as "displaced"
     And the core has not decided "a"
 
-  Scenario: The time to come back grows with the queue
+  Scenario: The retry time grows with the queue
     Given the core's slots are all taken by tier 1
-    When the core is given the requests
+    When the core receives the requests
       | id | tier | decode |
       | q1 | 1    | 200    |
       | q2 | 1    | 200    |
       | q3 | 1    | 200    |
       | q4 | 1    | 200    |
-    Then the core's refusal of "q4" says to come back in 5000 to 20000 ms
+    Then the core's refusal of "q4" gives a retry time of 5000 to 20000 ms
 
   Scenario: Nothing is granted when no endpoint is left
-    When the core hears that "only" is leaving
-    And the core is given the requests
+    When the core marks "only" as leaving
+    And the core receives the requests
       | id | tier |
       | a  | 0    |
     Then the core refused "a" as "no_endpoint"
--- a/tests/scheduler/affinity.feature
+++ b/tests/scheduler/affinity.feature
@@ -1,6 +1,6 @@
-Feature: Cached prefixes
-  A prompt goes where its prefix is cached, by our own record, corrected by the
-  engines' late and gappy word.
+Feature: Prefix affinity
+  A prompt goes to the endpoint that caches its prefix, by an index of sent prompts
+  that late and incomplete cache events of the engines correct.
 
   Background:
     Given a core with the endpoints
@@ -8,25 +8,25 @@
       | fast     | 4     | 100000    | 8000                 | 80                  |
       | slow     | 4     | 100000    | 4000                 | 60                  |
 
-  Scenario: A second prompt with the same prefix follows the first
+  Scenario: A prompt goes to the endpoint that has its prefix
     Given the core has sent a prompt of 40 blocks to "slow"
-    When the core is given a prompt with the same 40 blocks
+    When the core receives a prompt with the same 40 blocks
     Then the core granted "again" on "slow"
 
-  Scenario: A prompt without the prefix does not
+  Scenario: A prompt with another prefix goes to the fastest endpoint
     Given the core has sent a prompt of 40 blocks to "slow"
-    When the core is given a prompt with other 40 blocks
+    When the core receives a prompt with other 40 blocks
     Then the core granted "again" on "fast"
 
-  Scenario: Word of eviction corrects the record
+  Scenario: Eviction events correct the index
     Given the core has sent a prompt of 40 blocks to "slow"
     When 3000 ms pass for the core
-    And the core hears that "slow" has evicted the 40 blocks
-    And the core is given a prompt with the same 40 blocks
+    And the core receives eviction events of "slow" for the 40 blocks
+    And the core receives a prompt with the same 40 blocks
     Then the core granted "again" on "fast"
 
-  Scenario: Lost words make the record less certain
+  Scenario: Lost cache events lower the confidence in the index
     Given the core has sent a prompt of 40 blocks to "slow"
-    When the core hears words of "slow" with 20 gaps
-    And the core is given a prompt with the same 40 blocks
+    When the core receives cache events of "slow" with 20 gaps
+    And the core receives a prompt with the same 40 blocks
     Then the core granted "again" on "fast"
--- a/tests/scheduler/reserve.feature
+++ b/tests/scheduler/reserve.feature
@@ -1,6 +1,6 @@
-Feature: Room for the next burst
-  Long work that fills a lull leaves room in step with the recent arrivals of
-  higher tiers, and fills everything when there were none.
+Feature: Reserve for bursts
+  Long requests leave slots free by the size of recent bursts of higher tiers, and
+  use every slot when there was no burst.
 
   Background:
     Given a core with the endpoints
@@ -8,21 +8,21 @@
       | one      | 8     | 8000                 | 80                  |
       | two      | 8     | 8000                 | 80                  |
 
-  Scenario: With no recent burst, long work takes every slot
-    When the core is flooded with long work of tier 2
+  Scenario: Without a recent burst, long requests use every slot
+    When the core receives many long requests of tier 2
     Then the core runs 16 requests of tier 2
 
-  Scenario: After a burst of checks, long work leaves room for the next
-    Given the core has served a burst of 30 checks
-    When the core is flooded with long work of tier 2
+  Scenario: After a burst, long requests leave slots for the next one
+    Given the core has served a burst of 30 short requests
+    When the core receives many long requests of tier 2
     Then the core runs from 8 to 14 requests of tier 2
-    When the core is given the requests
+    When the core receives the requests
       | id | tier | decode | prefill | budget_ms |
       | a  | 0    | 20     | 50      | 2000      |
     Then the core granted "a" at once
 
-  Scenario: The room is given up when no burst comes
-    Given the core has served a burst of 30 checks
+  Scenario: The reserve expires when no burst follows
+    Given the core has served a burst of 30 short requests
     When 600000 ms pass for the core
-    And the core is flooded with long work of tier 2
+    And the core receives many long requests of tier 2
     Then the core runs 16 requests of tier 2
--- a/tests/steps/scheduler_driver.py
+++ b/tests/steps/scheduler_driver.py
@@ -1,4 +1,4 @@
-"""A driver of decision cores for the scheduler's steps; it defines no steps."""
+"""Test driver of scheduling cores; it defines no steps."""
 
 from pomelolane.clock import ManualClock
 from pomelolane.messages import Handle, StreamEvent
@@ -11,7 +11,7 @@
 
 
 class CoreDriver:
-    """A core with everything that it has decided so far."""
+    """Drives a core and records its decisions, with a manual clock."""
 
     def __init__(self, endpoints, options=None, policy="", **tree):
         self.clock = ManualClock(1_000.0)
@@ -28,60 +28,60 @@
         self.configure(endpoints)
 
     def configure(self, endpoints):
-        """Hand in a tree with some endpoints."""
+        """Apply a settings tree with the given endpoints."""
         tree = make_tree(endpoints, **self.tree)
         self.take(self.core.configure(tree, self.now))
 
     @property
     def now(self):
-        """The clock's reading."""
+        """Current time of the manual clock, in ms."""
         return self.clock.now_ms()
 
     def take(self, decisions):
-        """Keep decisions."""
+        """Record decisions."""
         for decision in decisions:
             self.decisions.setdefault(decision.request_id, []).append(decision.result)
             if isinstance(decision.result, Grant):
                 self.running[decision.request_id] = decision.result.endpoint_id
 
     def submit(self, handle):
-        """Hand in a request."""
+        """Submit a request."""
         self.handles[handle.request_id] = handle
         self.take(self.core.submit(handle, self.now))
 
     def event(self, request_id, **fields):
-        """Hand in a stream event."""
+        """Send a stream event of a running request to the core."""
         event = StreamEvent(request_id, self.running[request_id], **fields)
         self.take(self.core.observe(event, self.now))
         if event.finished or event.refused:
             del self.running[request_id]
 
     def cut_off(self, request_id):
-        """Let an endpoint refuse a request."""
+        """Simulate that the endpoint refuses a running request."""
         self.event(request_id, finished=True, refused=True, outcome="failed")
 
     def progress(self, endpoint_id, tokens, elapsed_ms):
-        """Let every stream of an endpoint report tokens."""
+        """Send a token event for every request that runs on an endpoint."""
         for request_id, where in list(self.running.items()):
             if where == endpoint_id:
                 self.event(request_id, tokens=tokens, elapsed_ms=elapsed_ms)
 
     def end(self, request_id):
-        """Let a request end at a usual pace."""
+        """Complete a running request at the usual speed."""
         tokens = self.handles[request_id].decode_tokens
         self.event(request_id, ttft_ms=10.0)
         self.event(request_id, tokens=tokens, elapsed_ms=tokens * 12.5)
         self.event(request_id, finished=True)
 
     def tick(self, by_ms, step_ms=50.0):
-        """Let time pass."""
+        """Advance the clock and call the core's tick at each step."""
         until = self.now + by_ms
         while self.now < until:
             self.clock.advance(min(step_ms, until - self.now))
             self.take(self.core.tick(self.now))
 
     def waiting(self):
-        """Return the handles that were submitted and not decided."""
+        """Return the submitted requests without a decision."""
         return [h for i, h in self.handles.items() if i not in self.decisions]
 
     def forget(self, request_id):
@@ -90,8 +90,8 @@
         self.running.pop(request_id, None)
 
     def result(self, request_id):
-        """Return a request's only decision."""
-        assert request_id in self.decisions, f"nothing decided on {request_id}"
+        """Return the result of a request's only decision."""
+        assert request_id in self.decisions, f"no decision for {request_id}"
         assert len(self.decisions[request_id]) == 1
         return self.decisions[request_id][0]
 
@@ -137,7 +137,7 @@
 
 
 def alike_endpoints(number, slots):
-    """Return endpoints that differ by name only."""
+    """Return endpoints that differ only by name."""
     return [
         Endpoint(f"p{index}", SERVICE, "", "", slots=slots, kv_tokens=100_000)
         for index in range(number)
--- a/tests/steps/scheduler_length_steps.py
+++ b/tests/steps/scheduler_length_steps.py
@@ -1,11 +1,11 @@
-"""Steps on learnt answer lengths, besides the scheduler's common ones."""
+"""Steps on learnt answer lengths, used with those of scheduler_steps.py."""
 
 from behave import given
 from scheduler_driver import make_handle
 
 
 @given(
-    "the core has seen {number:d} {how} answers of {tokens:d} tokens "
+    "the core has served {number:d} {how} answers of {tokens:d} tokens "
     'to "{organisation}"'
 )
 def step_answers(context, number, how, tokens, organisation):
--- a/tests/steps/scheduler_plugin_steps.py
+++ b/tests/steps/scheduler_plugin_steps.py
@@ -10,12 +10,12 @@
 from pomelolane.registry import PLACEMENT_POLICIES, lookup, register
 
 
-@given("the plug-in of the documents is imported")
+@given("the example plug-in of the documentation is imported")
 def step_import(context):
     importlib.import_module("examples.plugins.first_fit")
 
 
-@when("its core gets {count:d} requests for an endpoint with {slots:d} slots")
+@when("its core receives {count:d} requests for an endpoint with {slots:d} slots")
 def step_submit(context, count, slots):
     core = lookup(PLACEMENT_POLICIES, "first_fit")("chat")
     endpoint = Endpoint("e1", "chat", "dc", "127.0.0.1:1", slots=slots)
@@ -34,10 +34,10 @@
     assert [decision.request_id for decision in freed] == ["r2"]
 
 
-@then("registering its name again is a typed error")
+@then("registering its name again raises RegistryError")
 def step_twice(context):
     try:
         register(PLACEMENT_POLICIES, "first_fit")(object)
     except RegistryError:
         return
-    raise AssertionError("the second registration was taken")
+    raise AssertionError("the second registration was accepted")
--- a/tests/steps/scheduler_property_steps.py
+++ b/tests/steps/scheduler_property_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scheduler's properties: random runs of the core by hypothesis."""
+"""Steps that check invariants of the core on random runs, with hypothesis."""
 
 import random
 
@@ -26,9 +26,9 @@
     "report",
     "pass",
 )
-OVERLOAD = (Reason.QUEUE_FULL, Reason.DISPLACED)
-FLOOD_REQUESTS = 900
-FLOOD_ENDS = 600
+OVERLOAD_REASONS = (Reason.QUEUE_FULL, Reason.DISPLACED)
+REQUESTS_PER_ORGANISATION = 900
+COMPLETED_REQUESTS = 600
 
 run_strategy = st.tuples(
     st.integers(0, 2**32 - 1), st.lists(st.sampled_from(ACTIONS), max_size=120)
@@ -36,7 +36,7 @@
 
 
 class RandomRun:
-    """One random run of a core, with what it must never do."""
+    """One random run of a core that checks its invariants."""
 
     def __init__(self, seed, alike=False):
         self.random = random.Random(seed)
@@ -59,15 +59,15 @@
         self.forgotten = set()
         self.inversions = []
 
-    def act(self, action):
-        """Do one step and check what must hold after each."""
+    def run_action(self, action):
+        """Run one action and check the invariants."""
         before = {handle.request_id: handle for handle in self.driver.waiting()}
         getattr(self, f"do_{action}")()
-        self.check_room()
-        self.check_order(before)
+        self.check_capacity()
+        self.check_tier_order(before)
 
     def do_submit(self):
-        """Hand in a request."""
+        """Submit a random request."""
         draw = self.random
         row = {"id": f"r{len(self.driver.handles)}", "tier": draw.randrange(3)}
         row["organisation"] = draw.choice("abc")
@@ -78,17 +78,19 @@
         self.driver.submit(make_handle(row))
 
     def do_start(self):
-        """Let a running request give its first token."""
+        """Send the first token of a running request."""
         if self.driver.running:
-            self.driver.event(self._running(), ttft_ms=self.random.uniform(1, 500))
+            self.driver.event(
+                self._random_running(), ttft_ms=self.random.uniform(1, 500)
+            )
 
     def do_end(self):
-        """Let a running request end."""
+        """Complete a running request."""
         if self.driver.running:
-            self.driver.end(self._running())
+            self.driver.end(self._random_running())
 
     def do_forget(self):
-        """Withdraw any request."""
+        """Withdraw a random request."""
         if self.driver.handles:
             request_id = self.random.choice(list(self.driver.handles))
             if request_id not in self.driver.decisions:
@@ -96,12 +98,12 @@
             self.driver.forget(request_id)
 
     def do_refuse(self):
-        """Let an endpoint refuse a request."""
+        """Simulate that an endpoint refuses a running request."""
         if self.driver.running and not self.alike:
-            self.driver.cut_off(self._running())
+            self.driver.cut_off(self._random_running())
 
     def do_report(self):
-        """Let an endpoint report any load."""
+        """Send a load report with a random load."""
         draw = self.random
         endpoint_id = f"e{draw.randrange(3)}"
         age_ms = draw.uniform(0, 5_000)
@@ -110,28 +112,28 @@
         driver.take(driver.core.report_load(report, driver.now))
 
     def do_pass(self):
-        """Let time pass."""
+        """Advance the clock."""
         self.driver.tick(50 if self.alike else self.random.choice((50, 500, 3_000)))
 
     def finish(self):
-        """End all streams until nothing waits."""
+        """Complete running requests until none runs or waits."""
         for _ in range(500):
             if not self.driver.running and not self._undecided():
                 return
             if self.driver.running:
-                self.driver.end(self._running())
+                self.driver.end(self._random_running())
             self.driver.tick(200)
-        raise AssertionError(f"left waiting: {self._undecided()}")
+        raise AssertionError(f"requests still waiting: {self._undecided()}")
 
     def check_decisions(self):
-        """Check that each request was decided once, unless withdrawn."""
+        """Check that each request has one decision, or none if withdrawn."""
         for request_id in self.driver.handles:
             decided = len(self.driver.decisions.get(request_id, ()))
             expected = 0 if request_id in self.forgotten else 1
             assert decided == expected, (request_id, decided)
 
-    def check_room(self):
-        """Check slots and memory of each endpoint."""
+    def check_capacity(self):
+        """Check that no endpoint exceeds its slots or KV cache."""
         for endpoint in self.driver.endpoints:
             here = [
                 self.driver.handles[request_id]
@@ -142,9 +144,9 @@
             held = sum(handle.prefill_tokens for handle in here)
             assert held <= endpoint.kv_tokens
 
-    def check_order(self, before):
-        """Check each decision of one step against who still waits."""
-        waiting = [h.tier_rank for h in self.driver.waiting() if self._counts(h)]
+    def check_tier_order(self, before):
+        """Check new decisions against the tiers that still wait."""
+        waiting = [h.tier_rank for h in self.driver.waiting() if self._is_active(h)]
         known = {**before, **self.driver.handles}
         for request_id, results in self.driver.decisions.items():
             if request_id in self.checked():
@@ -155,28 +157,28 @@
             if isinstance(result, Grant):
                 if self.alike:
                     assert all(other >= rank for other in waiting), (rank, waiting)
-            elif result.reason in OVERLOAD:
+            elif result.reason in OVERLOAD_REASONS:
                 assert all(other <= rank for other in waiting), (rank, waiting)
 
     def checked(self):
-        """Return the ids whose decisions were checked."""
+        """Return the ids of requests whose decisions were checked."""
         self.__dict__.setdefault("_checked", set())
         return self._checked
 
-    def _counts(self, handle):
+    def _is_active(self, handle):
         return handle.request_id not in self.forgotten
 
-    def _running(self):
+    def _random_running(self):
         return self.random.choice(list(self.driver.running))
 
     def _undecided(self):
-        return [h for h in self.driver.waiting() if self._counts(h)]
+        return [h for h in self.driver.waiting() if self._is_active(h)]
 
 
 def _play(seed, actions, alike=False):
     run = RandomRun(seed, alike)
     for action in actions:
-        run.act(action)
+        run.run_action(action)
     return run
 
 
@@ -225,7 +227,7 @@
         Organisation(f"o{index}", "team", "", weight=value)
         for index, value in enumerate(values)
     ]
-    context.core = _flood_core(organisations)
+    context.core = _make_core(organisations)
     context.expected = {
         f"o{index}": value / sum(values) for index, value in enumerate(values)
     }
@@ -239,23 +241,23 @@
         Organisation("o2", "big", "", weight=2.0),
     ]
     teams = [Team("team"), Team("big", weight=3.0)]
-    context.core = _flood_core(organisations, teams=teams)
+    context.core = _make_core(organisations, teams=teams)
     context.expected = {"o0": 0.25, "o1": 0.25, "o2": 0.5}
 
 
-@when("they flood the core with requests of unlike lengths")
-def step_flood(context):
+@when("they submit more requests of varied lengths than the core can serve")
+def step_overload(context):
     draw = random.Random(7)
     driver = context.core
     teams = {o.name: o.team for o in driver.tree["organisations"]}
-    for index in range(FLOOD_REQUESTS * len(teams)):
+    for index in range(REQUESTS_PER_ORGANISATION * len(teams)):
         name = sorted(teams)[index % len(teams)]
         row = {"id": f"f{index}", "tier": 1, "organisation": name, "team": teams[name]}
         row["prefill"] = int(10 ** draw.uniform(1, 3))
         row["decode"] = int(10 ** draw.uniform(0.5, 2))
         driver.submit(make_handle({**row, "budget_ms": 10_000_000}))
     context.granted = {}
-    for _ in range(FLOOD_ENDS):
+    for _ in range(COMPLETED_REQUESTS):
         request_id = draw.choice(list(driver.running))
         handle = driver.handles[request_id]
         tokens = handle.prefill_tokens + handle.decode_tokens
@@ -273,7 +275,7 @@
         assert abs(got - share) <= 0.1 * share, (name, got, share)
 
 
-def _flood_core(organisations, teams=()):
+def _make_core(organisations, teams=()):
     endpoints = [
         Endpoint(f"e{index}", SERVICE, "", "", slots=4, kv_tokens=100_000)
         for index in range(2)
--- a/tests/steps/scheduler_steps.py
+++ b/tests/steps/scheduler_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the scheduler's features: a core, a clock moved by hand, no I/O."""
+"""Steps of the scheduler's features: a core with a manual clock and no I/O."""
 
 from dataclasses import replace
 
@@ -33,30 +33,30 @@
     assert len(context.core.running) == total
 
 
-@when("the core is given the requests")
+@when("the core receives the requests")
 def step_submit(context):
     for row in context.table:
         context.core.submit(make_handle(row))
 
 
-@when('the core sees one request end on "{endpoint}"')
+@when('one request of the core ends on "{endpoint}"')
 def step_end(context, endpoint):
     driver = context.core
     first = next(i for i, where in driver.running.items() if where == endpoint)
     driver.end(first)
 
 
-@when('the core is told to forget "{request_id}"')
+@when('the request "{request_id}" is withdrawn from the core')
 def step_forget(context, request_id):
     context.core.forget(request_id)
 
 
-@when('the core hears that "{endpoint}" is leaving')
+@when('the core marks "{endpoint}" as leaving')
 def step_leaving(context, endpoint):
     context.core.take(context.core.core.mark_leaving(endpoint, context.core.now))
 
 
-@when('the core hears that "{endpoint}" has returned')
+@when('the core marks "{endpoint}" as returned')
 def step_returned(context, endpoint):
     context.core.take(context.core.core.mark_returned(endpoint, context.core.now))
 
@@ -69,7 +69,7 @@
     context.core.configure(endpoints)
 
 
-@when('the core hears that {number:d} requests run on "{endpoint}" already')
+@when('the core registers {number:d} requests that already run on "{endpoint}"')
 def step_running(context, number, endpoint):
     for index in range(number):
         handle = make_handle({"id": f"old-{index}"})
@@ -113,14 +113,14 @@
     context.core = CoreDriver([endpoint], organisations=[organisation])
 
 
-@when("the core is given {number:d} requests of tier {tier:d}")
+@when("the core receives {number:d} requests of tier {tier:d}")
 def step_many(context, number, tier):
     for index in range(number):
         row = {"id": f"many-{index}", "tier": tier, "decode": 400}
         context.core.submit(make_handle(row))
 
 
-@when("the core is given {number:d} requests that an earlier scheduler admitted")
+@when("the core receives {number:d} requests that an earlier scheduler admitted")
 def step_admitted_before(context, number):
     for index in range(number):
         context.core.submit(make_handle({"id": f"old-{index}"}, admitted=True))
@@ -142,31 +142,31 @@
     context.core.tick(ms)
 
 
-@when('the core sees "{request_id}" end')
+@when('the core\'s request "{request_id}" ends')
 def step_one_end(context, request_id):
     context.core.end(request_id)
 
 
-@when('the core sees "{request_id}" refused by its endpoint')
+@when('an endpoint refuses the core\'s request "{request_id}"')
 def step_cut_off(context, request_id):
     context.core.cut_off(request_id)
 
 
 @when(
-    'the core hears from "{endpoint}" of {running:d} running and {waiting:d} waiting, '
-    "{age_ms:d} ms ago"
+    'the core receives a load report of "{endpoint}" with {running:d} running and '
+    "{waiting:d} waiting, {age_ms:d} ms old"
 )
 def step_report(context, endpoint, running, waiting, age_ms):
     report = LoadReport(endpoint, running, waiting, 0, age_ms)
     context.core.take(context.core.core.report_load(report, context.core.now))
 
 
-@when("the core may use a share of {share:f} of the slots")
+@when("the core is limited to a share of {share:f} of the slots")
 def step_share(context, share):
     context.core.take(context.core.core.limit_slots(share, context.core.now))
 
 
-@given('the core has seen "{endpoint}" keep its pace')
+@given('the core has measured the usual speed of "{endpoint}"')
 def step_pace(context, endpoint):
     context.core.submit(make_handle({"id": "steady", "decode": 4000}))
     assert context.core.running["steady"] == endpoint
@@ -178,16 +178,14 @@
         context.core.progress(endpoint, tokens, 100.0)
 
 
-@when(
-    '"{endpoint}" becomes {factor:d} times slower for {ms:d} ms under the core\'s eyes'
-)
+@when('the core sees "{endpoint}" stream {factor:d} times slower for {ms:d} ms')
 def step_slower(context, endpoint, factor, ms):
     speed = {e.endpoint_id: e for e in context.core.endpoints}[endpoint]
     context.slow = (endpoint, factor * 1000.0 / speed.decode_tokens_per_s)
     step_stay_slow(context, ms)
 
 
-@when("the core sees its stragglers stay slow for {ms:d} ms")
+@when("the core's straggler stays slow for {ms:d} ms")
 def step_stay_slow(context, ms):
     _, gap_ms = context.slow
     until = context.core.now + ms
@@ -205,27 +203,27 @@
     context.core.end("first")
 
 
-@when("the core is given a prompt with {which} {blocks:d} blocks")
+@when("the core receives a prompt with {which} {blocks:d} blocks")
 def step_again(context, which, blocks):
     first = 1 if which == "the same" else 1_000
     context.core.submit(_prompt("again", blocks, first))
 
 
-@when('the core hears that "{endpoint}" has evicted the {blocks:d} blocks')
+@when('the core receives eviction events of "{endpoint}" for the {blocks:d} blocks')
 def step_evicted(context, endpoint, blocks):
     for number in range(blocks):
         event = CacheEvent(endpoint, number + 1, False, number + 1)
         context.core.core.report_cache(event, context.core.now)
 
 
-@when('the core hears words of "{endpoint}" with {gaps:d} gaps')
+@when('the core receives cache events of "{endpoint}" with {gaps:d} gaps')
 def step_gaps(context, endpoint, gaps):
     for number in range(gaps + 1):
         event = CacheEvent(endpoint, 10 * number, True, 5_000 + number)
         context.core.core.report_cache(event, context.core.now)
 
 
-@given("the core has served a burst of {number:d} checks")
+@given("the core has served a burst of {number:d} short requests")
 def step_burst(context, number):
     for index in range(number):
         row = {"id": f"check-{index}", "decode": 20, "prefill": 50, "budget_ms": 2000}
@@ -235,7 +233,7 @@
             context.core.end(f"check-{index}")
 
 
-@when("the core is flooded with long work of tier {tier:d}")
+@when("the core receives many long requests of tier {tier:d}")
 def step_long(context, tier):
     for index in range(40):
         row = {"id": f"long-{index}", "tier": tier, "decode": 800, "prefill": 1}
@@ -279,13 +277,13 @@
     assert result.reason == reason, result
 
 
-@then('the core\'s refusal of "{request_id}" says when to come back')
+@then('the core\'s refusal of "{request_id}" gives a retry time')
 def step_come_back(context, request_id):
     assert context.core.result(request_id).retry_after_ms > 0
 
 
 @then(
-    'the core\'s refusal of "{request_id}" says to come back in {low:d} to {high:d} ms'
+    'the core\'s refusal of "{request_id}" gives a retry time of {low:d} to {high:d} ms'
 )
 def step_come_back_in(context, request_id, low, high):
     retry_ms = context.core.result(request_id).retry_after_ms
@@ -305,7 +303,7 @@
 
 
 @given(
-    'the core has seen calls take {fast:d} ms on "{one}" and {slow:d} ms on "{other}"'
+    'the core has measured calls of {fast:d} ms on "{one}", {slow:d} ms on "{other}"'
 )
 def step_calls(context, fast, one, slow, other):
     driver = context.core
