--- a/src/pomelolane/scheduler/admission.py
+++ b/src/pomelolane/scheduler/admission.py
@@ -14,8 +14,8 @@
 from pomelolane.scheduler.estimate import needed_ms
 
 if TYPE_CHECKING:
-    from pomelolane.scheduler.accounting import EndpointState
     from pomelolane.scheduler.affinity import PrefixIndex
+    from pomelolane.scheduler.endpoint_state import EndpointState
     from pomelolane.scheduler.fleet import Fleet
     from pomelolane.scheduler.options import CoreOptions
     from pomelolane.scheduler.queue import FairQueue
@@ -171,13 +171,13 @@
         """Return the shortest service times of a short, typical and long answer."""
         prefill = waiting.handle.prefill_tokens
         fastest = self._fleet.summary(now_ms).fastest
-        candidates = [(account, prefill) for account in fastest]
+        candidates = [(state, prefill) for state in fastest]
         candidates += self._endpoints_with_prefix(waiting)
         if not candidates:
             return 0.0, 0.0, 0.0
         short_ms = typical_ms = long_ms = math.inf
-        for account, rest in candidates:
-            prompt_ms, token_ms = account.phases_ms(rest)
+        for state, rest in candidates:
+            prompt_ms, token_ms = state.phases_ms(rest)
             # Comparisons instead of min(), which costs a call each.
             one_ms = prompt_ms + waiting.short_decode_tokens * token_ms
             short_ms = one_ms if one_ms < short_ms else short_ms
@@ -201,7 +201,7 @@
                 continue
             cached = self._prefixes.cached_tokens(endpoint_id, hashes)
             rest = max(0, waiting.handle.prefill_tokens - cached)
-            found.append((worker.account, rest))
+            found.append((worker.endpoint_state, rest))
         return found
 
     def _predicted_wait_ms(self, waiting: WaitingRequest, now_ms: float) -> float:
--- a/src/pomelolane/scheduler/core.py
+++ b/src/pomelolane/scheduler/core.py
@@ -160,7 +160,7 @@
         worker = self._fleet.workers.get(report.endpoint_id)
         if worker is None:
             return []
-        worker.account.correct(report, now_ms)
+        worker.endpoint_state.correct(report, now_ms)
         self._fleet.refresh(worker, now_ms)
         return self._dispatch(now_ms)
 
@@ -171,18 +171,18 @@
     def mark_leaving(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
         """Stop granting requests to an endpoint."""
         worker = self._fleet.workers.get(endpoint_id)
-        if worker is None or worker.account.leaving:
+        if worker is None or worker.endpoint_state.leaving:
             return []
-        worker.account.leaving = True
+        worker.endpoint_state.leaving = True
         self._fleet.refresh_all(now_ms)
         return self._dispatch(now_ms)
 
     def mark_returned(self, endpoint_id: str, now_ms: float) -> Sequence[Decision]:
         """Undo `mark_leaving`, unless the settings declare the endpoint as leaving."""
         worker = self._fleet.workers.get(endpoint_id)
-        if worker is None or worker.account.leaving == worker.declared_leaving:
+        if worker is None or worker.endpoint_state.leaving == worker.declared_leaving:
             return []
-        worker.account.leaving = worker.declared_leaving
+        worker.endpoint_state.leaving = worker.declared_leaving
         self._fleet.refresh_all(now_ms)
         return self._dispatch(now_ms)
 
--- a/src/pomelolane/scheduler/figures.py
+++ b/src/pomelolane/scheduler/figures.py
@@ -37,11 +37,11 @@
 
 def figures_of_worker(worker: Worker) -> EndpointFigures:
     """Return the figures of one endpoint."""
-    prefill = worker.account.prefill_per_ms * _MS_PER_S
+    prefill = worker.endpoint_state.prefill_per_ms * _MS_PER_S
     slowdown = worker.health.slowdown
     return EndpointFigures(
         prefill_tokens_per_s=prefill if math.isfinite(prefill) else 0.0,
-        decode_tokens_per_s=worker.account.decode_per_ms * _MS_PER_S,
+        decode_tokens_per_s=worker.endpoint_state.decode_per_ms * _MS_PER_S,
         straggling=worker.health.state is HealthState.STRAGGLING,
         slowdown=slowdown if math.isfinite(slowdown) else 0.0,
     )
--- a/src/pomelolane/scheduler/fleet.py
+++ b/src/pomelolane/scheduler/fleet.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from pomelolane.model import ServiceKind
-from pomelolane.scheduler.accounting import EndpointState, make_endpoint_state
+from pomelolane.scheduler.endpoint_state import EndpointState, make_endpoint_state
 from pomelolane.scheduler.health import EndpointHealth, HealthState
 
 if TYPE_CHECKING:
@@ -34,24 +34,24 @@
     """One endpoint with its load, speed and health.
 
     Attributes:
-        account: Load and speed estimates.
+        endpoint_state: Load and speed estimates.
         health: Health state.
         open_key: Sort key among endpoints that can take a grant, or None.
     """
 
-    account: EndpointState
+    endpoint_state: EndpointState
     health: EndpointHealth
     open_key: tuple[float, str] | None = None
 
     @property
     def endpoint_id(self) -> str:
         """Id of the endpoint."""
-        return self.account.endpoint.endpoint_id
+        return self.endpoint_state.endpoint.endpoint_id
 
     @property
     def declared_leaving(self) -> bool:
         """Whether the settings declare the endpoint as leaving."""
-        return self.account.endpoint.leaving
+        return self.endpoint_state.endpoint.leaving
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,8 +76,8 @@
         """Return the predicted service time on the endpoint of median speed."""
         if not self.by_speed:
             return 0.0
-        account = self.by_speed[len(self.by_speed) // 2].account
-        return account.service_ms(prefill_tokens, decode_tokens)
+        state = self.by_speed[len(self.by_speed) // 2].endpoint_state
+        return state.service_ms(prefill_tokens, decode_tokens)
 
     def drain_ms(self, backlog: Backlog) -> float:
         """Return the predicted time to serve all waiting work."""
@@ -118,11 +118,11 @@
         declared = {endpoint.endpoint_id: endpoint for endpoint in endpoints}
         for endpoint_id in [i for i in self.workers if i not in declared]:
             worker = self.workers[endpoint_id]
-            account = worker.account
-            account.leaving = True
+            state = worker.endpoint_state
+            state.leaving = True
             # Marks the declaration as leaving, so that a new declaration reopens it.
-            account.update_declaration(replace(account.endpoint, leaving=True))
-            if not worker.account.running_requests:
+            state.update_declaration(replace(state.endpoint, leaving=True))
+            if not worker.endpoint_state.running_requests:
                 self._close(worker)
                 del self.workers[endpoint_id]
                 self._unhealthy.pop(endpoint_id, None)
@@ -136,7 +136,7 @@
         """Use only a share of each endpoint's slots."""
         self._slot_share = share
         for worker in self.workers.values():
-            worker.account.set_slot_share(share)
+            worker.endpoint_state.set_slot_share(share)
         self.refresh_all(now_ms)
 
     def refresh_all(self, now_ms: float) -> None:
@@ -163,16 +163,16 @@
     def refresh(self, worker: Worker, now_ms: float) -> None:
         """Recompute whether an endpoint can take a grant."""
         self._close(worker)
-        account = worker.account
-        if not self.may_serve(worker) or account.free_slots(now_ms) <= 0:
+        state = worker.endpoint_state
+        if not self.may_serve(worker) or state.free_slots(now_ms) <= 0:
             return
-        ahead_ms = account.prefill_ahead_ms(now_ms)
+        ahead_ms = state.prefill_ahead_ms(now_ms)
         lookahead_ms = self._options.prefill_lookahead_ms
         if self._options.bound_prefill and ahead_ms > lookahead_ms:
-            wake_ms = account.prefill_free_ms - lookahead_ms
+            wake_ms = state.prefill_free_ms - lookahead_ms
             heapq.heappush(self._prefill_waits, (wake_ms, next(self._sequence), worker))
             return
-        typical_ms = account.service_ms(_TYPICAL_PREFILL_TOKENS, _TYPICAL_DECODE_TOKENS)
+        typical_ms = state.service_ms(_TYPICAL_PREFILL_TOKENS, _TYPICAL_DECODE_TOKENS)
         worker.open_key = (ahead_ms + typical_ms, worker.endpoint_id)
         insort(self._open, worker.open_key)
 
@@ -197,14 +197,14 @@
         return [
             worker
             for worker in self._unhealthy.values()
-            if worker.health.probe_due(worker.account, now_ms)
-            and not worker.account.leaving
-            and worker.account.free_slots(now_ms) > 0
+            if worker.health.probe_due(worker.endpoint_state, now_ms)
+            and not worker.endpoint_state.leaving
+            and worker.endpoint_state.free_slots(now_ms) > 0
         ]
 
     def may_serve(self, worker: Worker) -> bool:
         """Return whether an endpoint may serve; stragglers if no other is ready."""
-        if worker.account.leaving:
+        if worker.endpoint_state.leaving:
             return False
         if worker.health.state is HealthState.HEALTHY:
             return True
@@ -217,7 +217,7 @@
     def has_eligible(self, excluded: tuple[str, ...]) -> bool:
         """Return whether any endpoint is neither leaving nor excluded."""
         return any(
-            not worker.account.leaving and endpoint_id not in excluded
+            not worker.endpoint_state.leaving and endpoint_id not in excluded
             for endpoint_id, worker in self.workers.items()
         )
 
@@ -247,31 +247,31 @@
     def _summarise(self) -> Summary:
         ready = [w for w in self.workers.values() if self.may_serve(w)]
         ready.sort(key=_typical_ms)
-        accounts = [worker.account for worker in ready]
+        states = [worker.endpoint_state for worker in ready]
         return Summary(
-            slots=sum(a.slots for a in accounts),
-            prefill_per_ms=sum(a.prefill_per_ms for a in accounts),
-            decode_per_ms=sum(a.decode_per_ms * a.slots for a in accounts),
-            fastest=_fastest(accounts),
+            slots=sum(a.slots for a in states),
+            prefill_per_ms=sum(a.prefill_per_ms for a in states),
+            decode_per_ms=sum(a.decode_per_ms * a.slots for a in states),
+            fastest=_fastest(states),
             by_speed=tuple(ready),
         )
 
     def _configure_endpoint(self, endpoint: Endpoint, kind: ServiceKind) -> None:
         worker = self.workers.get(endpoint.endpoint_id)
         if worker is None:
-            account = make_endpoint_state(
+            state = make_endpoint_state(
                 endpoint, kind, learn_speeds=self._options.learn_speeds
             )
-            account.set_slot_share(self._slot_share)
+            state.set_slot_share(self._slot_share)
             health = EndpointHealth(uses_token_rate=kind is ServiceKind.ENGINE)
-            self.workers[endpoint.endpoint_id] = Worker(account, health)
+            self.workers[endpoint.endpoint_id] = Worker(state, health)
             return
-        declared_again = worker.account.endpoint.leaving and not endpoint.leaving
-        worker.account.update_declaration(endpoint)
+        declared_again = worker.endpoint_state.endpoint.leaving and not endpoint.leaving
+        worker.endpoint_state.update_declaration(endpoint)
         if endpoint.leaving:
-            worker.account.leaving = True
+            worker.endpoint_state.leaving = True
         elif declared_again:
-            worker.account.leaving = False
+            worker.endpoint_state.leaving = False
 
     def _close(self, worker: Worker) -> None:
         if worker.open_key is not None:
@@ -280,23 +280,25 @@
 
 
 def _is_ready(worker: Worker) -> bool:
-    return worker.health.state is HealthState.HEALTHY and not worker.account.leaving
+    return (
+        worker.health.state is HealthState.HEALTHY and not worker.endpoint_state.leaving
+    )
 
 
 def _typical_ms(worker: Worker) -> float:
-    account = worker.account
-    return account.service_ms(_TYPICAL_PREFILL_TOKENS, _TYPICAL_DECODE_TOKENS)
+    state = worker.endpoint_state
+    return state.service_ms(_TYPICAL_PREFILL_TOKENS, _TYPICAL_DECODE_TOKENS)
 
 
-def _fastest(accounts: list[EndpointState]) -> tuple[EndpointState, ...]:
+def _fastest(states: list[EndpointState]) -> tuple[EndpointState, ...]:
     """Return the endpoints that no other beats at both prefill and decoding."""
     by_prefill = sorted(
-        accounts, key=lambda a: (a.prefill_per_ms, a.decode_per_ms), reverse=True
+        states, key=lambda a: (a.prefill_per_ms, a.decode_per_ms), reverse=True
     )
     fastest: list[EndpointState] = []
     best_decode = 0.0
-    for account in by_prefill:
-        if account.decode_per_ms > best_decode:
-            best_decode = account.decode_per_ms
-            fastest.append(account)
+    for state in by_prefill:
+        if state.decode_per_ms > best_decode:
+            best_decode = state.decode_per_ms
+            fastest.append(state)
     return tuple(fastest)
--- a/src/pomelolane/scheduler/health.py
+++ b/src/pomelolane/scheduler/health.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from pomelolane.messages import StreamEvent
-    from pomelolane.scheduler.accounting import EndpointState, RunningRequest
+    from pomelolane.scheduler.endpoint_state import EndpointState, RunningRequest
 
 _STRAGGLING_SLOWDOWN = 3.0
 _RECOVERED_SLOWDOWN = 1.8
--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -50,7 +50,7 @@
         else:
             self.window.configure(bound * share, spare)
 
-    def is_full(self) -> bool:
+    def is_at_concurrency_limit(self) -> bool:
         limit = self.limits.concurrency
         return 0 < limit <= self.running
 
@@ -285,7 +285,9 @@
     def is_at_concurrency_limit(self, handle: Handle) -> bool:
         """Return whether one of the request's concurrency limits is reached."""
         accounts = self._accounts(handle)
-        return bool(accounts) and any(account.is_full() for account in accounts)
+        return bool(accounts) and any(
+            account.is_at_concurrency_limit() for account in accounts
+        )
 
     def record_start(self, handle: Handle) -> None:
         """Count a running request."""
--- a/src/pomelolane/scheduler/out_of_order.py
+++ b/src/pomelolane/scheduler/out_of_order.py
@@ -36,7 +36,7 @@
 
     Args:
         queue: The waiting requests.
-        placer: Predicts the times of requests on endpoints.
+        placer: Predictor of request times on endpoints.
         running: The running requests, for concurrency limits.
         options: Options of the core.
         may_dispatch: Returns whether limits and the reserve allow a grant.
@@ -101,14 +101,14 @@
         return None
 
     def _select_deferred(
-        self, rank: int, place: Callable[[WaitingRequest], Placement | None], most: int
+        self, rank: int, place: Callable[[WaitingRequest], Placement | None], limit: int
     ) -> Selection | None:
         """Return the first deferred request of a tier that can be placed."""
         if not self._queue.has_deferred(rank):
             return None
         with closing(self._queue.scan(rank)) as requests:
             deferred = (waiting for waiting in requests if waiting.deferred)
-            for waiting in islice(deferred, most):
+            for waiting in islice(deferred, limit):
                 placement = place(waiting)
                 if placement is not None:
                     return waiting, placement
@@ -117,7 +117,7 @@
     def _select_from_lowest_tier(
         self, worker: Worker, now_ms: float
     ) -> Selection | None:
-        """Return a request that would be in time even at the measured speed."""
+        """Return a request of the lowest tier that is in time at the measured speed."""
         for rank in reversed(self._queue.ranks()):
             with closing(self._queue.scan(rank)) as requests:
                 for waiting in requests:
@@ -135,7 +135,7 @@
             return None
         if self._running.park_if_limited(waiting.handle):
             return None
-        if not worker.account.kv_fits(waiting.cost_tokens):
+        if not worker.endpoint_state.kv_fits(waiting.cost_tokens):
             return None
         placement = self._placer.predict(waiting, worker, 0.0, now_ms)
         return placement if self._placer.in_time(waiting, placement, now_ms) else None
--- a/src/pomelolane/scheduler/placement.py
+++ b/src/pomelolane/scheduler/placement.py
@@ -141,8 +141,8 @@
         for worker in self._fleet.open_workers(_MAX_OPEN_CANDIDATES):
             if not _is_allowed(worker, waiting, held):
                 continue
-            limit = worker.account.endpoint.kv_tokens
-            if limit >= tokens and not worker.account.kv_fits(tokens):
+            limit = worker.endpoint_state.endpoint.kv_tokens
+            if limit >= tokens and not worker.endpoint_state.kv_fits(tokens):
                 held.add(worker.endpoint_id)
                 return
 
@@ -151,7 +151,7 @@
     ) -> Placement:
         """Predict the times of a request on one endpoint."""
         handle = waiting.handle
-        account = worker.account
+        state = worker.endpoint_state
         cached = 0
         if self._options.affinity and handle.prefix_hashes:
             expected = self._prefixes.cached_tokens(
@@ -159,13 +159,13 @@
             )
             cached = min(expected, handle.prefill_tokens)
         prefill = handle.prefill_tokens - cached
-        ahead_ms = account.prefill_ahead_ms(now_ms)
+        ahead_ms = state.prefill_ahead_ms(now_ms)
         start_ms = max(wait_ms, ahead_ms)
-        if account.endpoint.data_centre != handle.data_centre:
+        if state.endpoint.data_centre != handle.data_centre:
             start_ms += _CROSS_DATA_CENTRE_MS
-        first_ms = start_ms + account.unqueued_first_token_ms(prefill)
-        total_ms = start_ms + account.service_ms(prefill, waiting.decode_tokens)
-        long_ms = start_ms + account.service_ms(prefill, waiting.long_decode_tokens)
+        first_ms = start_ms + state.unqueued_first_token_ms(prefill)
+        total_ms = start_ms + state.service_ms(prefill, waiting.decode_tokens)
+        long_ms = start_ms + state.service_ms(prefill, waiting.long_decode_tokens)
         return Placement(
             worker,
             wait_ms,
@@ -271,7 +271,7 @@
         for worker in self._busy_candidates(holders, now_ms):
             if not _is_allowed(worker, waiting, held):
                 continue
-            wait_ms = worker.account.slot_wait_ms(now_ms)
+            wait_ms = worker.endpoint_state.slot_wait_ms(now_ms)
             placement = self.predict(waiting, worker, wait_ms, now_ms)
             if best is None or placement.score < best.score:
                 best = placement
@@ -295,10 +295,10 @@
 
 def _short_answer_ms(waiting: WaitingRequest, placement: Placement) -> float:
     """Return the predicted time to the last token of a short answer."""
-    account = placement.worker.account
+    state = placement.worker.endpoint_state
     prompt = placement.prefill_tokens
-    start_ms = placement.first_token_ms - account.unqueued_first_token_ms(prompt)
-    return start_ms + account.service_ms(prompt, waiting.short_decode_tokens)
+    start_ms = placement.first_token_ms - state.unqueued_first_token_ms(prompt)
+    return start_ms + state.service_ms(prompt, waiting.short_decode_tokens)
 
 
 def _is_allowed(worker: Worker, waiting: WaitingRequest, held: set[str]) -> bool:
@@ -309,7 +309,7 @@
 def _fits(worker: Worker, waiting: WaitingRequest, held: set[str]) -> bool:
     if not _is_allowed(worker, waiting, held):
         return False
-    return worker.account.kv_fits(waiting.cost_tokens)
+    return worker.endpoint_state.kv_fits(waiting.cost_tokens)
 
 
 def _is_worth_waiting(now: Placement, later: Placement) -> bool:
--- a/src/pomelolane/scheduler/running.py
+++ b/src/pomelolane/scheduler/running.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pomelolane.scheduler.accounting import RunningRequest
+from pomelolane.scheduler.endpoint_state import RunningRequest
 from pomelolane.scheduler.health import HealthState
 from pomelolane.scheduler.recent import RecentIds
 
@@ -100,8 +100,8 @@
             return False
         worker = self._placements[event.request_id].worker
         was_started = request.started
-        worker.account.observe(request, event, now_ms)
-        self._judge(worker, request, event, now_ms)
+        worker.endpoint_state.observe(request, event, now_ms)
+        self._update_health(worker, request, event, now_ms)
         if request.started and not was_started:
             end_ms = request.expected_end_ms
             self._tracked.reserve.record_grant(event.request_id, end_ms)
@@ -121,7 +121,7 @@
         if request is None:
             return None
         worker = self._placements.pop(request_id).worker
-        worker.account.remove(request, now_ms)
+        worker.endpoint_state.remove(request, now_ms)
         self._tracked.limits.record_end(request.handle)
         self._tracked.reserve.record_end(request_id)
         self._unpark(request.handle)
@@ -132,10 +132,10 @@
         """Check endpoint health and remove expired ids; call on each tick."""
         self._recent.purge(now_ms)
         for worker in self._tracked.fleet.workers.values():
-            account = worker.account
-            if self._options.stragglers and account.running_requests:
+            state = worker.endpoint_state
+            if self._options.stragglers and state.running_requests:
                 self._check_health(worker, now_ms)
-            if worker.open_key is None and account.has_foreign_load:
+            if worker.open_key is None and state.has_foreign_load:
                 self._tracked.fleet.refresh(worker, now_ms)
 
     def park_if_limited(self, handle: Handle) -> bool:
@@ -170,19 +170,22 @@
         request.probe = worker.health.state is not HealthState.HEALTHY
         self._requests[request_id] = request
         self._placements[request_id] = placement
-        worker.account.add(request, now_ms)
-        worker.health.record_grant(worker.account, now_ms)
+        worker.endpoint_state.add(request, now_ms)
+        worker.health.record_grant(worker.endpoint_state, now_ms)
         self._tracked.limits.record_start(request.handle)
         self._tracked.reserve.record_grant(request_id, request.expected_end_ms)
         if self._options.affinity and request.handle.prefix_hashes:
-            room = worker.account.endpoint.kv_tokens - worker.account.kv_used_tokens
+            room = (
+                worker.endpoint_state.endpoint.kv_tokens
+                - worker.endpoint_state.kv_used_tokens
+            )
             room += request.handle.prefill_tokens
             self._tracked.prefixes.record_sent(
                 worker.endpoint_id, request.handle.prefix_hashes, room, now_ms
             )
         self._tracked.fleet.refresh(worker, now_ms)
 
-    def _judge(
+    def _update_health(
         self, worker: Worker, request: RunningRequest, event: StreamEvent, now_ms: float
     ) -> None:
         if not self._options.stragglers:
@@ -194,7 +197,7 @@
 
     def _check_health(self, worker: Worker, now_ms: float) -> None:
         before = worker.health.state
-        worker.health.check(worker.account, now_ms)
+        worker.health.check(worker.endpoint_state, now_ms)
         if worker.health.state is not before:
             self._tracked.fleet.health_changed(worker, now_ms)
 
