--- a/src/pomelolane/scheduler/baselines.py
+++ b/src/pomelolane/scheduler/baselines.py
@@ -21,8 +21,8 @@
     from pomelolane.model import Tree
     from pomelolane.ports import CacheEvent, LoadReport, SchedulingCore
 
-_RETRY_MS = 1_000
-_GATEWAYS = 9
+_RETRY_AFTER_MS = 1_000
+_GATEWAY_COUNT = 9
 
 SINGLE_QUEUE_OPTIONS = CoreOptions(
     fair_shares=False,
@@ -47,7 +47,7 @@
     bound_prefill=False,
     sure_first=False,
     chance_factor=1.1,
-    default_slot_share=1.0 / _GATEWAYS,
+    default_slot_share=1.0 / _GATEWAY_COUNT,
 )
 
 
@@ -63,7 +63,7 @@
         self._endpoints: list[str] = []
         self._leaving: set[str] = set()
         self._granted: set[str] = set()
-        self._turn = 0
+        self._next_index = 0
 
     def configure(self, tree: Tree, now_ms: float) -> Sequence[Decision]:
         """Adopt a settings tree."""
@@ -80,7 +80,7 @@
         ready = [e for e in self._endpoints if e not in self._leaving]
         ready = [e for e in ready if e not in handle.excluded] or ready
         if not ready:
-            refusal = Refusal(Outcome.NOT_RUN, Reason.NO_ENDPOINT, _RETRY_MS)
+            refusal = Refusal(Outcome.NOT_RUN, Reason.NO_ENDPOINT, _RETRY_AFTER_MS)
             return [Decision(handle.request_id, refusal)]
         self._granted.add(handle.request_id)
         endpoint_id = self._choose(ready)
@@ -135,8 +135,8 @@
         return []
 
     def _choose(self, ready: list[str]) -> str:
-        self._turn += 1
-        return ready[self._turn % len(ready)]
+        self._next_index += 1
+        return ready[self._next_index % len(ready)]
 
 
 class LeastReportedCore(RoundRobinCore):
@@ -159,8 +159,8 @@
         return []
 
     def _choose(self, ready: list[str]) -> str:
-        self._turn += 1
-        start = self._turn % len(ready)
+        self._next_index += 1
+        start = self._next_index % len(ready)
         return min(ready[start:] + ready[:start], key=self._relative_load)
 
     def _relative_load(self, endpoint_id: str) -> float:
--- a/src/pomelolane/scheduler/estimate.py
+++ b/src/pomelolane/scheduler/estimate.py
@@ -83,7 +83,7 @@
         "_quantile_indices",
         "_size",
         "_sorted",
-        "has_enough",
+        "has_enough_answers",
         "long",
         "short",
         "typical",
@@ -94,7 +94,7 @@
         self._sorted = list(_PRIOR_RATIOS)
         self._size = 0
         self._quantile_indices: tuple[int, ...] = ()
-        self.has_enough = False
+        self.has_enough_answers = False
         self._summarise()
 
     def add(self, ratio: float, *, cut: bool) -> None:
@@ -116,7 +116,7 @@
             self._quantile_indices = tuple(
                 math.ceil(each * size) - 1 for each in _QUANTILES
             )
-            self.has_enough = size >= _MIN_ANSWERS
+            self.has_enough_answers = size >= _MIN_ANSWERS
         short, typical, long = self._quantile_indices
         self.short = self._sorted[short]
         self.typical = self._sorted[typical]
@@ -154,7 +154,7 @@
         if not self._enabled:
             return ExpectedLength(expected_tokens, expected_tokens, expected_tokens)
         ratios = self._ratios.get((work, organisation), _UNKNOWN)
-        if not ratios.has_enough:
+        if not ratios.has_enough_answers:
             ratios = self._ratios_by_work.get(work, _UNKNOWN)
         typical = max(1, round(expected_tokens * ratios.typical))
         long = max(typical, round(expected_tokens * ratios.long))
@@ -177,7 +177,7 @@
         ratios = self._ratios.get((work, organisation))
         if ratios is None:
             ratios = self._ratios[work, organisation] = _LengthRatios()
-        if not ratios.has_enough:
+        if not ratios.has_enough_answers:
             self._ratios_by_work.setdefault(work, _LengthRatios()).add(ratio, cut=cut)
         ratios.add(ratio, cut=cut)
 
--- a/src/pomelolane/scheduler/rate_limiting.py
+++ b/src/pomelolane/scheduler/rate_limiting.py
@@ -86,7 +86,7 @@
 
 
 class _Entry(NamedTuple):
-    """Admitted tokens, and the bound of the window at that time."""
+    """Reserved or admitted tokens, and the bound of the window at that time."""
 
     at_ms: float
     tokens: float
