--- a/src/pomelolane/scheduler/limits.py
+++ b/src/pomelolane/scheduler/limits.py
@@ -63,7 +63,7 @@
         self._organisations: dict[str, _Account] = {}
         self._accounts_by_tenant: dict[tuple[str, str], tuple[_Account, ...]] = {}
         self._share = 1.0
-        self._raised_ms: float | None = None
+        self._share_raised_ms: float | None = None
 
     def _longest_window_ms(self) -> int:
         accounts = self._organisations.values()
@@ -73,20 +73,20 @@
         """Enforce only a share of every rate, as one of several schedulers.
 
         A larger share takes effect only after the longest window has passed,
-        because the usage that others admitted until now is unknown here.
+        because the usage that others granted until now is unknown here.
         """
         if share <= self._share:
-            self._raised_ms = None
-        elif self._raised_ms is None:
-            self._raised_ms = now_ms
+            self._share_raised_ms = None
+        elif self._share_raised_ms is None:
+            self._share_raised_ms = now_ms
         if share == self._share:
             return
         if (
-            self._raised_ms is not None
-            and now_ms - self._raised_ms < self._longest_window_ms()
+            self._share_raised_ms is not None
+            and now_ms - self._share_raised_ms < self._longest_window_ms()
         ):
             return
-        self._raised_ms = None
+        self._share_raised_ms = None
         self._share = share
         for account in (*self._teams.values(), *self._organisations.values()):
             if account.share != share:
@@ -96,7 +96,7 @@
         """Assume that earlier schedulers used all windows.
 
         Args:
-            spare_part: Part of the tolerance beside the bound that stays usable.
+            spare_part: Part of the tolerance that stays usable.
             now_ms: Current time.
         """
         for account in (*self._teams.values(), *self._organisations.values()):
@@ -104,7 +104,7 @@
                 account.window.assume_used(spare_part, now_ms)
 
     def uses(self, now_ms: float) -> list[TokenUse]:
-        """Return the usage that this scheduler admitted in the current windows."""
+        """Return the usage that this scheduler granted in the current windows."""
         found = []
         for name, account in self._organisations.items():
             if account.window is not None:
@@ -128,14 +128,14 @@
 
     def take_unreported(self) -> list[TokenUse]:
         """Return the usage since the last report and mark it as reported."""
-        news = []
+        unreported = []
         for name, account in self._organisations.items():
             if account.window is None:
                 continue
             tokens, bound = account.window.take_unreported()
             if tokens:
-                news.append(TokenUse(name, 0, tokens, bound=bound))
-        return news
+                unreported.append(TokenUse(name, 0, tokens, bound=bound))
+        return unreported
 
     def add_reported(
         self,
@@ -150,7 +150,7 @@
         An organisation's limit applies to all schedulers and services together.
 
         Args:
-            source: Service and scheduler that admitted the usage.
+            source: Service and scheduler that granted the usage.
             uses: The reported usage.
             now_ms: Current time.
             adds: Whether it is added to earlier reports of the source or replaces
@@ -172,12 +172,12 @@
 
     def _windows(self) -> list[SlidingWindow]:
         accounts = self._organisations.values()
-        return [one.window for one in accounts if one.window is not None]
+        return [account.window for account in accounts if account.window is not None]
 
     def guess_part(self, now_ms: float) -> float:
         """Return the largest part of a limit that is only assumed to be used."""
-        tracked = (window.guess_part(now_ms) for window in self._windows())
-        return max(tracked, default=0.0)
+        parts = (window.guess_part(now_ms) for window in self._windows())
+        return max(parts, default=0.0)
 
     def guessed_organisations(self, now_ms: float) -> list[str]:
         """Return the organisations for which usage is partly assumed."""
@@ -224,9 +224,9 @@
         if handle.attempt > 0:
             return None
         accounts = self._accounts(handle)
-        judge = _refuse_readmitted if handle.admitted else _refuse_over_limit
+        check = _refuse_readmitted if handle.admitted else _refuse_over_limit
         for account in accounts:
-            refusal = judge(account, tokens, now_ms)
+            refusal = check(account, tokens, now_ms)
             if refusal is not None:
                 return refusal
         for account in accounts:
@@ -341,12 +341,12 @@
 def _window_refusal(
     window: SlidingWindow, tokens: int, now_ms: float
 ) -> Refusal | None:
-    """Refuse what does not fit; the reason tells if only assumed usage is at fault."""
+    """Refuse tokens over the limit; `LIMIT_GUESSED` if only assumed usage fills it."""
     wait_ms = window.wait_ms(tokens, now_ms)
     if wait_ms <= 0:
         return None
-    is_known = window.is_full_without_guess(tokens, now_ms)
-    reason = Reason.TOKEN_LIMIT if is_known else Reason.LIMIT_GUESSED
+    is_full = window.is_full_without_assumed(tokens, now_ms)
+    reason = Reason.TOKEN_LIMIT if is_full else Reason.LIMIT_GUESSED
     return Refusal(Outcome.NOT_RUN, reason, int(wait_ms) + 1)
 
 
--- a/src/pomelolane/scheduler/rate_limiting.py
+++ b/src/pomelolane/scheduler/rate_limiting.py
@@ -11,16 +11,16 @@
 
 _BURST_MS = 1_000.0
 _USE_STEP_MS = 250
-"""Saved usage is summed up in age steps of this length."""
+"""Usage is summed up in age steps of this length before it is saved."""
 
 _UNRECORDED_PART = 0.15
-"""Part of the assumed usage that is kept after saved usage was read, which is up to a
-second old while a window lasts several seconds."""
+"""Fraction of the assumed usage that still counts after saved usage was read. Saved
+usage is up to a second old, so the latest part of a window is missing from it."""
 
 
 _MOVED_PART = 0.25
-"""Part of the tolerance beside the bound for requests that move to another scheduler
-while they wait; the earlier scheduler had room for them."""
+"""Fraction of the tolerance by which requests that moved here from another scheduler
+while they waited may exceed the bound; that scheduler had room for them."""
 
 
 class TokenBucket:
@@ -64,11 +64,11 @@
 
     Attributes:
         organisation: Name of the organisation.
-        age_ms: Time since they were admitted.
+        age_ms: Time since they were granted.
         tokens: Number of tokens.
-        scheduler: Scheduler that admitted them, as VM id and start ("vm-1/1");
+        scheduler: Scheduler that granted them, as VM id and start ("vm-1/1");
             empty for this one.
-        bound: Bound of the window when they were admitted, 0 if unknown.
+        bound: Bound of the window when they were granted, 0 if unknown.
         service: Service they were used for, where several are reported together.
     """
 
@@ -81,12 +81,12 @@
 
     @property
     def source(self) -> tuple[str, str]:
-        """Where the usage was admitted: the service and the scheduler."""
+        """Where the usage was granted: the service and the scheduler."""
         return self.service, self.scheduler
 
 
 class _Entry(NamedTuple):
-    """Reserved or admitted tokens, and the bound of the window at that time."""
+    """Reserved or granted tokens, and the bound of the window at that time."""
 
     at_ms: float
     tokens: float
@@ -95,7 +95,7 @@
     def scaled_tokens(self, bound: float) -> float:
         """Return the tokens to count under a bound.
 
-        A lower bound counts the same fraction of itself; otherwise a lowered limit
+        Under a lower bound, they count in proportion to it; otherwise a lowered limit
         would refuse everything for a whole window. The stored amount stays, so that
         it counts in full when the limit is raised again.
         """
@@ -107,14 +107,14 @@
 class SlidingWindow:
     """Limits the tokens in any time window of a fixed length.
 
-    A new scheduler does not know the usage that earlier ones admitted. Until it is
+    A new scheduler does not know the usage that earlier ones granted. Until it is
     reported, the window assumes enough usage that all schedulers together stay
     within the bound plus its tolerance.
 
     Args:
         bound: Maximum tokens in a window.
         window_ms: Length of the window.
-        spare: Tolerance beside the bound, for schedulers that count separately.
+        spare: Tolerance above the bound, for schedulers that count separately.
     """
 
     __slots__ = (
@@ -122,10 +122,10 @@
         "_assumed_part",
         "_assumed_until_ms",
         "_bound",
-        "_passed",
+        "_granted",
         "_reported",
         "_retry_reservations",
-        "_spare",
+        "_tolerance",
         "_unrecorded",
         "_unreported",
         "_used",
@@ -136,9 +136,9 @@
     def __init__(self, bound: float, window_ms: float, spare: float) -> None:
         self._bound = bound
         self._window_ms = window_ms
-        self._spare = spare
+        self._tolerance = spare
         self._waiting: list[_Entry] = []
-        self._passed: list[_Entry] = []
+        self._granted: list[_Entry] = []
         self._reported: dict[tuple[str, str], list[_Entry]] = {}
         self._retry_reservations: deque[tuple[float, float]] = deque()
         self._assumed = 0.0
@@ -152,15 +152,15 @@
         """Assume that the bound was just used by other schedulers.
 
         Args:
-            spare_part: Part of the tolerance beside the bound that stays usable.
+            spare_part: Part of the tolerance that stays usable.
             now_ms: Current time.
         """
-        self._assumed = max(0.0, self._bound - spare_part * self._spare)
+        self._assumed = max(0.0, self._bound - spare_part * self._tolerance)
         self._assumed_part = 1.0
         self._assumed_until_ms = now_ms + self._window_ms
 
     def clear_reported(self, guess_part: float = 0.0) -> None:
-        """Remove reported usage; keep part of the assumed one, as some is never saved.
+        """Remove reported usage; reduce assumed usage to the part that may be unsaved.
 
         Args:
             guess_part: Part of the bound that the reporting schedulers only assume.
@@ -177,7 +177,7 @@
         self._drop_expired(now_ms)
         return self._assumed_part if self._assumed > 0 else 0.0
 
-    def is_full_without_guess(self, amount: float, now_ms: float) -> bool:
+    def is_full_without_assumed(self, amount: float, now_ms: float) -> bool:
         """Return whether known usage alone leaves no room for an amount."""
         self._drop_expired(now_ms)
         return self._used + min(amount, self._bound) > self._bound
@@ -190,11 +190,11 @@
         return self._share_of(self._unrecorded)
 
     def unreported_share(self) -> float:
-        """Return the tokens not yet reported, as a share of the same."""
+        """Return the tokens not yet reported, as a share of the tolerance or bound."""
         return self._share_of(self._unreported)
 
     def _share_of(self, tokens: float) -> float:
-        allowed = self._spare or self._bound
+        allowed = self._tolerance or self._bound
         return tokens / allowed if allowed > 0 else 1.0
 
     def take_unreported(self) -> tuple[int, int]:
@@ -208,10 +208,10 @@
         self._unrecorded = 0.0
 
     def uses(self, organisation: str, now_ms: float) -> list[TokenUse]:
-        """Return the usage admitted by this scheduler, summed up in age steps."""
+        """Return the usage granted by this scheduler, summed up in age steps."""
         self._drop_expired(now_ms)
         sums: dict[tuple[int, int], float] = {}
-        for at_ms, tokens, bound in self._passed:
+        for at_ms, tokens, bound in self._granted:
             age_ms = int((now_ms - at_ms) // _USE_STEP_MS) * _USE_STEP_MS
             key = age_ms, round(bound)
             sums[key] = sums.get(key, 0.0) + tokens
@@ -227,16 +227,16 @@
         bound: float = 0.0,
         source: tuple[str, str] = ("", ""),
     ) -> None:
-        """Count an amount that another scheduler admitted.
+        """Count an amount that another scheduler granted.
 
         Args:
             amount: Number of tokens.
-            at_ms: Time of admission.
+            at_ms: Time of the grant.
             bound: Bound of the window there, 0 for the bound here.
-            source: Service and scheduler that admitted it.
+            source: Service and scheduler that granted it.
         """
-        passed = _Entry(at_ms, amount, bound or self._bound)
-        self._add_entry(self._reported.setdefault(source, []), passed)
+        entry = _Entry(at_ms, amount, bound or self._bound)
+        self._add_entry(self._reported.setdefault(source, []), entry)
 
     def drop_reported(self, source: tuple[str, str]) -> None:
         """Remove the usage of one source, before it is reported anew."""
@@ -248,13 +248,13 @@
         if 0 < bound < self._bound:
             self._assumed *= bound / self._bound
         self._bound = bound
-        self._spare = spare
+        self._tolerance = spare
         self._recount()
 
     def wait_ms(self, amount: float, now_ms: float) -> float:
         """Return how long until an amount may pass, 0 for now.
 
-        A wait reserves room, so that callers told to retry get it one after another.
+        A wait reserves room at its end, so that callers are told different retry times.
         """
         self._drop_expired(now_ms)
         over = self._used + self._assumed + min(amount, self._bound) - self._bound
@@ -262,12 +262,12 @@
             return 0.0
         while self._retry_reservations and self._retry_reservations[0][0] <= now_ms:
             self._retry_reservations.popleft()
-        over += sum(promised for _, promised in self._retry_reservations)
+        over += sum(reserved for _, reserved in self._retry_reservations)
         wait_ms = self._window_ms
-        for passed in merge(*self._reported.values(), self._passed, self._waiting):
-            over -= passed.scaled_tokens(self._bound)
+        for entry in merge(*self._reported.values(), self._granted, self._waiting):
+            over -= entry.scaled_tokens(self._bound)
             if over <= 0:
-                wait_ms = max(1.0, passed.at_ms + self._window_ms - now_ms)
+                wait_ms = max(1.0, entry.at_ms + self._window_ms - now_ms)
                 break
         self._retry_reservations.append((now_ms + wait_ms, amount))
         return wait_ms
@@ -275,11 +275,11 @@
     def is_over_tolerance(self, amount: float, now_ms: float) -> bool:
         """Return whether known usage plus an amount exceeds the bound by too much.
 
-        Assumed usage does not count. Part of the tolerance beside the bound is
-        allowed, for amounts that another scheduler had room for.
+        Assumed usage does not count. Part of the tolerance is allowed, for requests
+        that another scheduler had room for.
         """
         self._drop_expired(now_ms)
-        most = self._bound + _MOVED_PART * self._spare
+        most = self._bound + _MOVED_PART * self._tolerance
         return self._used + amount > most
 
     def take(self, amount: float, now_ms: float) -> None:
@@ -287,20 +287,20 @@
         self._add_entry(self._waiting, _Entry(now_ms, amount, self._bound))
 
     def give_back(self, amount: float, taken_ms: float) -> None:
-        """Refund an amount that was reserved or admitted at a time."""
+        """Refund an amount that was reserved or granted at a time."""
         if not self._remove_entry(
             self._waiting, amount, taken_ms
-        ) and self._remove_entry(self._passed, amount, taken_ms):
+        ) and self._remove_entry(self._granted, amount, taken_ms):
             self._unreported -= amount
 
     def record_passed(self, amount: float, taken_ms: float, now_ms: float) -> None:
-        """Move a reserved amount to the admitted ones.
+        """Move a reserved amount to the granted ones.
 
         It counts from now on, here and for schedulers that receive reports: the
-        scheduler that grants a request counts it, whoever admitted it before.
+        scheduler that grants a request counts it, even if another one admitted it.
         """
         self._remove_entry(self._waiting, amount, taken_ms)
-        self._add_entry(self._passed, _Entry(now_ms, amount, self._bound))
+        self._add_entry(self._granted, _Entry(now_ms, amount, self._bound))
         self._unrecorded += amount
         self._unreported += amount
 
@@ -312,25 +312,25 @@
         self._used -= uses.pop(first).scaled_tokens(self._bound)
         return True
 
-    def _add_entry(self, uses: list[_Entry], passed: _Entry) -> None:
-        insort(uses, passed)
-        self._used += passed.scaled_tokens(self._bound)
+    def _add_entry(self, uses: list[_Entry], entry: _Entry) -> None:
+        insort(uses, entry)
+        self._used += entry.scaled_tokens(self._bound)
 
     def _recount(self) -> None:
         """Recompute the sum of all usage under the current bound."""
-        passed = chain(self._waiting, self._passed, *self._reported.values())
-        self._used = sum(one.scaled_tokens(self._bound) for one in passed)
+        entries = chain(self._waiting, self._granted, *self._reported.values())
+        self._used = sum(entry.scaled_tokens(self._bound) for entry in entries)
 
     def _drop_expired(self, now_ms: float) -> None:
         if now_ms >= self._assumed_until_ms:
             self._assumed = self._assumed_part = 0.0
         oldest_ms = now_ms - self._window_ms
-        for uses in (self._waiting, self._passed, *self._reported.values()):
+        for uses in (self._waiting, self._granted, *self._reported.values()):
             old = bisect_right(uses, (oldest_ms, float("inf")))
-            self._used -= sum(one.scaled_tokens(self._bound) for one in uses[:old])
+            self._used -= sum(entry.scaled_tokens(self._bound) for entry in uses[:old])
             del uses[:old]
         for source in [name for name, uses in self._reported.items() if not uses]:
             del self._reported[source]
-        if not self._waiting and not self._passed and not self._reported:
+        if not self._waiting and not self._granted and not self._reported:
             # Prevents rounding errors from accumulating.
             self._used = 0.0
