--- a/src/pomelolane/scheduler/affinity.py
+++ b/src/pomelolane/scheduler/affinity.py
@@ -72,7 +72,7 @@
         record = self._records.get(endpoint_id)
         if record is None or not hashes:
             return 0
-        depth = _depth(record, hashes)
+        depth = _cached_depth(record, hashes)
         return int(depth * BLOCK_TOKENS * record.confidence)
 
     def record_sent(
@@ -88,8 +88,8 @@
             return
         for block in reversed(hashes):
             self._store(endpoint_id, record, block, now_ms)
-        room = min(record.capacity, max(0, kv_free_tokens) // BLOCK_TOKENS)
-        while len(record.blocks) > room:
+        max_blocks = min(record.capacity, max(0, kv_free_tokens) // BLOCK_TOKENS)
+        while len(record.blocks) > max_blocks:
             oldest = next(iter(record.blocks))
             self._evict(endpoint_id, record, oldest)
 
@@ -98,8 +98,8 @@
         record = self._records.get(endpoint_id)
         if record is None or expected <= 0:
             return
-        truth = min(1.0, cached / expected * record.confidence)
-        record.confidence += _CONFIDENCE_STEP * (truth - record.confidence)
+        measured = min(1.0, cached / expected * record.confidence)
+        record.confidence += _CONFIDENCE_STEP * (measured - record.confidence)
 
     def apply_event(self, event: CacheEvent, now_ms: float) -> None:
         """Apply a cache event; a gap in sequence numbers lowers the confidence."""
@@ -140,7 +140,7 @@
             del self._holders[block]
 
 
-def _depth(record: _EndpointRecord, hashes: Sequence[int]) -> int:
+def _cached_depth(record: _EndpointRecord, hashes: Sequence[int]) -> int:
     """Return how many leading blocks of a prompt are cached, by bisection."""
     blocks = record.blocks
     low, high = 0, len(hashes)
--- a/src/pomelolane/scheduler/core.py
+++ b/src/pomelolane/scheduler/core.py
@@ -312,7 +312,7 @@
             return None
         placement = self._placer.place(waiting, held, now_ms)
         if placement is None:
-            self._placer.hold_for_memory(waiting, held)
+            self._placer.hold_for_kv_cache(waiting, held)
         return placement
 
     def _yields_to_others(self, waiting: WaitingRequest) -> bool:
--- a/src/pomelolane/scheduler/placement.py
+++ b/src/pomelolane/scheduler/placement.py
@@ -135,7 +135,7 @@
         is_late = now_ms + _short_answer_ms(waiting, placement) >= waiting.deadline_ms
         return None if is_late else placement
 
-    def hold_for_memory(self, waiting: WaitingRequest, held: set[str]) -> None:
+    def hold_for_kv_cache(self, waiting: WaitingRequest, held: set[str]) -> None:
         """Hold one endpoint for a request until the request's KV cache fits."""
         tokens = waiting.cost_tokens
         for worker in self._fleet.open_workers(_MAX_OPEN_CANDIDATES):
@@ -247,7 +247,7 @@
         self, waiting: WaitingRequest, holders: list[Worker], held: set[str]
     ) -> Iterator[Worker]:
         seen: set[str] = set()
-        looked = 0
+        examined = 0
         for worker in holders:
             if worker.open_key is not None and _fits(worker, waiting, held):
                 seen.add(worker.endpoint_id)
@@ -255,9 +255,9 @@
         for worker in self._fleet.open_workers(len(self._fleet.workers)):
             if worker.endpoint_id in seen or not _fits(worker, waiting, held):
                 continue
-            looked += 1
+            examined += 1
             yield worker
-            if looked >= _MAX_OPEN_CANDIDATES:
+            if examined >= _MAX_OPEN_CANDIDATES:
                 return
 
     def _best_busy(
@@ -284,12 +284,12 @@
             yield from (worker for worker in holders if worker.open_key is None)
         if not self._options.wait_for_better:
             return
-        looked = 0
+        examined = 0
         for worker in self._fleet.summary(now_ms).by_speed:
-            if looked >= _MAX_BUSY_CANDIDATES:
+            if examined >= _MAX_BUSY_CANDIDATES:
                 return
             if worker.open_key is None:
-                looked += 1
+                examined += 1
                 yield worker
 
 
--- a/src/pomelolane/scheduler/queue.py
+++ b/src/pomelolane/scheduler/queue.py
@@ -55,7 +55,7 @@
     name: str = ""
     prefill_tokens: int = 0
     decode_tokens: int = 0
-    latest_ms: float = 0.0
+    latest_deadline_ms: float = 0.0
 
     def head(self) -> WaitingRequest | None:
         """Return the request with the nearest deadline."""
@@ -127,7 +127,9 @@
         for counts in (tier, organisation):
             counts.prefill_tokens += handle.prefill_tokens
             counts.decode_tokens += waiting.decode_tokens
-        organisation.latest_ms = max(organisation.latest_ms, waiting.deadline_ms)
+        organisation.latest_deadline_ms = max(
+            organisation.latest_deadline_ms, waiting.deadline_ms
+        )
         self._length += 1
         self._activate(tier, organisation)
 
@@ -395,14 +397,14 @@
 def _share_of_tier(tier: _Tier, organisation: _Organisation) -> float:
     """Return an organisation's share of its tier among those with waiting requests."""
     team = organisation.team
-    rivals = [o for o in team.organisations.values() if o.by_arrival]
+    active = [o for o in team.organisations.values() if o.by_arrival]
     teams = [
         other
         for other in tier.teams.values()
         if other is team or any(o.by_arrival for o in other.organisations.values())
     ]
     own = organisation.weight / max(
-        organisation.weight, sum(rival.weight for rival in rivals)
+        organisation.weight, sum(other.weight for other in active)
     )
     return own * team.weight / sum(other.weight for other in teams)
 
@@ -412,7 +414,7 @@
     head = organisation.head()
     if head is None or deadline_ms <= head.deadline_ms:
         return 0.0
-    spread_ms = organisation.latest_ms - head.deadline_ms
+    spread_ms = organisation.latest_deadline_ms - head.deadline_ms
     if spread_ms <= 0:
         return 1.0
     return min(1.0, (deadline_ms - head.deadline_ms) / spread_ms)
--- a/src/pomelolane/scheduler/recent.py
+++ b/src/pomelolane/scheduler/recent.py
@@ -4,8 +4,8 @@
 
 from collections import OrderedDict
 
-_KEEP_MS = 60_000.0
-_KEEP_MOST = 50_000
+_RETENTION_MS = 60_000.0
+_MAX_IDS = 50_000
 
 
 class RecentIds:
@@ -20,13 +20,13 @@
     def add(self, request_id: str, now_ms: float) -> None:
         """Add an id; above the size limit, the oldest is removed."""
         self._ended_ms[request_id] = now_ms
-        if len(self._ended_ms) > _KEEP_MOST:
+        if len(self._ended_ms) > _MAX_IDS:
             self._ended_ms.popitem(last=False)
 
     def purge(self, now_ms: float) -> None:
         """Remove expired ids."""
         while self._ended_ms:
             oldest = next(iter(self._ended_ms))
-            if now_ms - self._ended_ms[oldest] <= _KEEP_MS:
+            if now_ms - self._ended_ms[oldest] <= _RETENTION_MS:
                 return
             self._ended_ms.popitem(last=False)
--- a/src/pomelolane/scheduler/reserve.py
+++ b/src/pomelolane/scheduler/reserve.py
@@ -115,12 +115,12 @@
         self, rank: int, hold_ms: float, total_slots: int, now_ms: float
     ) -> bool:
         """Return whether a request of a tier may occupy a slot for `hold_ms`."""
-        wanted, patience_ms = self._higher_tier_demand(rank, now_ms)
-        if wanted < _MIN_SLOTS or hold_ms <= patience_ms:
+        needed_slots, max_wait_ms = self._higher_tier_demand(rank, now_ms)
+        if needed_slots < _MIN_SLOTS or hold_ms <= max_wait_ms:
             return True
-        share = min(self._options.reserve_limit, wanted / max(1, total_slots))
-        held = self._end_times.count_after(now_ms + patience_ms)
-        return held < _allowance(total_slots, share)
+        share = min(self._options.reserve_limit, needed_slots / max(1, total_slots))
+        occupied = self._end_times.count_after(now_ms + max_wait_ms)
+        return occupied < _max_long_requests(total_slots, share)
 
     def record_grant(self, request_id: str, end_ms: float) -> None:
         """Record that a slot is occupied, and its expected end time."""
@@ -133,7 +133,7 @@
     def _higher_tier_demand(self, rank: int, now_ms: float) -> tuple[float, float]:
         """Return the slots that higher tiers need and how long they can wait."""
         slots = 0.0
-        patience_ms = math.inf
+        max_wait_ms = math.inf
         for other, demand in self._tiers.items():
             if other >= rank:
                 continue
@@ -141,10 +141,10 @@
             if needed < _MIN_SLOTS:
                 continue
             slots += needed
-            patience_ms = min(patience_ms, _SLACK_SHARE * demand.slack_ms)
-        return slots, patience_ms
+            max_wait_ms = min(max_wait_ms, _SLACK_SHARE * demand.slack_ms)
+        return slots, max_wait_ms
 
 
-def _allowance(whole: int, kept_share: float) -> int:
-    """Return the slots for long requests; at least one, so that they progress."""
-    return max(1, whole - math.ceil(whole * kept_share))
+def _max_long_requests(total_slots: int, reserved_share: float) -> int:
+    """Return how many long requests may run; at least one, so that they progress."""
+    return max(1, total_slots - math.ceil(total_slots * reserved_share))
--- a/src/pomelolane/scheduler/running.py
+++ b/src/pomelolane/scheduler/running.py
@@ -175,13 +175,13 @@
         self._tracked.limits.record_start(request.handle)
         self._tracked.reserve.record_grant(request_id, request.expected_end_ms)
         if self._options.affinity and request.handle.prefix_hashes:
-            room = (
+            kv_free_tokens = (
                 worker.endpoint_state.endpoint.kv_tokens
                 - worker.endpoint_state.kv_used_tokens
             )
-            room += request.handle.prefill_tokens
+            kv_free_tokens += request.handle.prefill_tokens
             self._tracked.prefixes.record_sent(
-                worker.endpoint_id, request.handle.prefix_hashes, room, now_ms
+                worker.endpoint_id, request.handle.prefix_hashes, kv_free_tokens, now_ms
             )
         self._tracked.fleet.refresh(worker, now_ms)
 
--- a/src/pomelolane/scheduler/waiting.py
+++ b/src/pomelolane/scheduler/waiting.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from pomelolane.messages import Handle
 
-_DEFERRED_MS = 1e12
+_DEFERRED_ORDER_OFFSET_MS = 1e12
 
 
 @dataclass(slots=True, eq=False)
@@ -51,7 +51,7 @@
     @property
     def order_ms(self) -> float:
         """Sort key among the requests of its organisation."""
-        return self.deadline_ms + (_DEFERRED_MS if self.deferred else 0.0)
+        return self.deadline_ms + (_DEFERRED_ORDER_OFFSET_MS if self.deferred else 0.0)
 
     @property
     def cost_tokens(self) -> int:
