--- a/src/pomelolane/scheduler/baselines.py
+++ b/src/pomelolane/scheduler/baselines.py
@@ -153,7 +153,7 @@
         return super().configure(tree, now_ms)
 
     def report_load(self, report: LoadReport, now_ms: float) -> Sequence[Decision]:
-        """Believe the report as it comes."""
+        """Record the reported load without correcting it for its age."""
         del now_ms
         self._load[report.endpoint_id] = report.running + report.waiting
         return []
--- a/src/pomelolane/scheduler/endpoint_state.py
+++ b/src/pomelolane/scheduler/endpoint_state.py
@@ -149,7 +149,9 @@
         wait_ms = self.prefill_ahead_ms(now_ms)
         if self.free_slots(now_ms) > 0 or not self.running_requests:
             return wait_ms
-        first_end_ms = min(f.expected_end_ms for f in self.running_requests.values())
+        first_end_ms = min(
+            request.expected_end_ms for request in self.running_requests.values()
+        )
         return max(wait_ms, first_end_ms - now_ms)
 
     def add(self, request: RunningRequest, now_ms: float) -> None:
--- a/src/pomelolane/scheduler/estimate.py
+++ b/src/pomelolane/scheduler/estimate.py
@@ -130,7 +130,7 @@
         return sum(longer) / len(longer)
 
 
-_UNKNOWN = _LengthRatios()
+_PRIOR_LENGTHS = _LengthRatios()
 
 
 class AnswerLengths:
@@ -153,9 +153,9 @@
         """Return the expected length of an answer."""
         if not self._enabled:
             return ExpectedLength(expected_tokens, expected_tokens, expected_tokens)
-        ratios = self._ratios.get((work, organisation), _UNKNOWN)
+        ratios = self._ratios.get((work, organisation), _PRIOR_LENGTHS)
         if not ratios.has_enough_answers:
-            ratios = self._ratios_by_work.get(work, _UNKNOWN)
+            ratios = self._ratios_by_work.get(work, _PRIOR_LENGTHS)
         typical = max(1, round(expected_tokens * ratios.typical))
         long = max(typical, round(expected_tokens * ratios.long))
         short = min(typical, max(1, round(expected_tokens * ratios.short)))
@@ -183,10 +183,10 @@
 
 
 def needed_ms(typical_ms: float, long_ms: float, budget_ms: float) -> float:
-    """Return the time that a request should have left when it starts.
+    """Return the time before its deadline by which a request should start.
 
-    That is enough for a long answer. Where a long answer needs most of the budget, a
-    request may still start while 80% of its budget is left.
+    That is the time of a long answer. Where a long answer takes more than 80% of the
+    budget, it is 80% of the budget, but at least the time of a typical answer.
     """
     return min(long_ms, max(typical_ms, _START_BUDGET_SHARE * budget_ms))
 
--- a/src/pomelolane/scheduler/fleet.py
+++ b/src/pomelolane/scheduler/fleet.py
@@ -249,9 +249,9 @@
         ready.sort(key=_typical_ms)
         states = [worker.endpoint_state for worker in ready]
         return Summary(
-            slots=sum(a.slots for a in states),
-            prefill_per_ms=sum(a.prefill_per_ms for a in states),
-            decode_per_ms=sum(a.decode_per_ms * a.slots for a in states),
+            slots=sum(state.slots for state in states),
+            prefill_per_ms=sum(state.prefill_per_ms for state in states),
+            decode_per_ms=sum(state.decode_per_ms * state.slots for state in states),
             fastest=_fastest(states),
             by_speed=tuple(ready),
         )
@@ -293,7 +293,9 @@
 def _fastest(states: list[EndpointState]) -> tuple[EndpointState, ...]:
     """Return the endpoints that no other beats at both prefill and decoding."""
     by_prefill = sorted(
-        states, key=lambda a: (a.prefill_per_ms, a.decode_per_ms), reverse=True
+        states,
+        key=lambda state: (state.prefill_per_ms, state.decode_per_ms),
+        reverse=True,
     )
     fastest: list[EndpointState] = []
     best_decode = 0.0
--- a/src/pomelolane/scheduler/health.py
+++ b/src/pomelolane/scheduler/health.py
@@ -165,6 +165,7 @@
 
     def _mark_down(self, request: RunningRequest, now_ms: float) -> None:
         if request.granted_ms < self._failed_ms:
+            # Granted before the last failure, so it shows no new one.
             return
         self._failed_ms = now_ms
         self.state = HealthState.DOWN
--- a/src/pomelolane/scheduler/out_of_order.py
+++ b/src/pomelolane/scheduler/out_of_order.py
@@ -62,8 +62,8 @@
         """Return a deferred request that a free slot saves if its answer is short.
 
         Args:
-            rank: A tier without a request that can be placed in queue order; those
-                with enough time may exclude the free endpoints.
+            rank: A tier with no request that can be placed in queue order, as when
+                its requests with enough time exclude all free endpoints.
             held: Endpoints held for other requests.
             now_ms: Current time.
         """
