--- a/src/pomelolane/scheduler/running.py
+++ b/src/pomelolane/scheduler/running.py
@@ -1,7 +1,7 @@
-"""The dispatched requests of a service and everything that they hold.
+"""The running requests of a service and the resources that they occupy.
 
-Begin and end of a flight move all accounts together: slots, memory, shares,
-limits, reserve and the record of prefixes.
+The start and end of a request update all dependent state together: slots, KV cache,
+fair shares, limits, burst reserve and the prefix index.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pomelolane.scheduler.accounting import RunningRequest
+from pomelolane.scheduler.endpoint_state import RunningRequest
 from pomelolane.scheduler.health import HealthState
 from pomelolane.scheduler.recent import RecentIds
 
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TrackedState:
-    """The accounts that a flight moves.
+    """The state that the start and end of a running request update.
 
     Attributes:
-        queue: Shares of organisations.
-        fleet: Endpoints.
-        prefixes: Record of cached prefixes.
-        lengths: Answer lengths.
+        queue: Fair shares of organisations.
+        fleet: Endpoints of the service.
+        prefixes: Index of cached prefixes.
+        lengths: Learnt answer lengths.
         limits: Limits of teams and organisations.
-        reserve: Room for higher tiers.
+        reserve: Slots reserved for bursts of higher tiers.
     """
 
     queue: FairQueue
@@ -51,8 +51,8 @@
     """All requests that were granted and have not ended.
 
     Args:
-        parts: Accounts to move.
-        options: Switches of the core.
+        tracked: State to update.
+        options: Options of the core.
     """
 
     def __init__(self, tracked: TrackedState, options: CoreOptions) -> None:
@@ -67,13 +67,13 @@
         return request_id in self._requests or request_id in self._recent
 
     def placement_of(self, request_id: str) -> Placement | None:
-        """Return the prediction behind a flight."""
+        """Return the prediction on which a running request was granted."""
         return self._placements.get(request_id)
 
     def begin(
         self, waiting: WaitingRequest, placement: Placement, now_ms: float
     ) -> None:
-        """Account for a grant."""
+        """Add a granted request."""
         self._add(_make_running_request(waiting, placement, now_ms), placement, now_ms)
 
     def register(
@@ -83,25 +83,25 @@
         running: RunningHandle,
         now_ms: float,
     ) -> None:
-        """Account for a request that an earlier scheduler granted."""
+        """Add a running request that an earlier scheduler granted."""
         request = _make_running_request(waiting, placement, now_ms)
         request.started = running.started
         request.decoded_tokens = running.decoded_tokens
         self._add(request, placement, now_ms)
 
     def observe(self, event: StreamEvent, now_ms: float) -> bool:
-        """Learn from a stream event.
+        """Update the state from a stream event.
 
         Returns:
-            False where it belongs to no flight.
+            False if the event belongs to no running request.
         """
         request = self._requests.get(event.request_id)
         if request is None:
             return False
         worker = self._placements[event.request_id].worker
         was_started = request.started
-        worker.account.observe(request, event, now_ms)
-        self._judge(worker, request, event, now_ms)
+        worker.endpoint_state.observe(request, event, now_ms)
+        self._update_health(worker, request, event, now_ms)
         if request.started and not was_started:
             end_ms = request.expected_end_ms
             self._tracked.reserve.record_grant(event.request_id, end_ms)
@@ -116,12 +116,12 @@
         return True
 
     def end(self, request_id: str, now_ms: float) -> RunningRequest | None:
-        """Free what a flight holds."""
+        """Remove a request and free its resources."""
         request = self._requests.pop(request_id, None)
         if request is None:
             return None
         worker = self._placements.pop(request_id).worker
-        worker.account.remove(request, now_ms)
+        worker.endpoint_state.remove(request, now_ms)
         self._tracked.limits.record_end(request.handle)
         self._tracked.reserve.record_end(request_id)
         self._unpark(request.handle)
@@ -129,17 +129,17 @@
         return request
 
     def check(self, now_ms: float) -> None:
-        """Look for silent endpoints and forget old ids; call on each tick."""
+        """Check endpoint health and remove expired ids; call on each tick."""
         self._recent.purge(now_ms)
         for worker in self._tracked.fleet.workers.values():
-            account = worker.account
-            if self._options.stragglers and account.running_requests:
+            state = worker.endpoint_state
+            if self._options.stragglers and state.running_requests:
                 self._check_health(worker, now_ms)
-            if worker.open_key is None and account.has_foreign_load:
+            if worker.open_key is None and state.has_foreign_load:
                 self._tracked.fleet.refresh(worker, now_ms)
 
     def park_if_limited(self, handle: Handle) -> bool:
-        """Pass over an organisation that is at its concurrency limit."""
+        """Park an organisation at its concurrency limit; return whether it is."""
         if not self._tracked.limits.is_at_concurrency_limit(handle):
             return False
         self._parked[handle.organisation] = handle.team
@@ -147,11 +147,11 @@
         return True
 
     def is_parked(self, handle: Handle) -> bool:
-        """Tell whether a request waits for its concurrency limit."""
+        """Return whether a request waits because of a concurrency limit."""
         return handle.organisation in self._parked
 
     def unpark_all(self) -> None:
-        """Consider all organisations again."""
+        """Unpark all organisations."""
         for organisation in self._parked:
             self._tracked.queue.unpark(organisation)
         self._parked.clear()
@@ -170,19 +170,22 @@
         request.probe = worker.health.state is not HealthState.HEALTHY
         self._requests[request_id] = request
         self._placements[request_id] = placement
-        worker.account.add(request, now_ms)
-        worker.health.record_grant(worker.account, now_ms)
+        worker.endpoint_state.add(request, now_ms)
+        worker.health.record_grant(worker.endpoint_state, now_ms)
         self._tracked.limits.record_start(request.handle)
         self._tracked.reserve.record_grant(request_id, request.expected_end_ms)
         if self._options.affinity and request.handle.prefix_hashes:
-            room = worker.account.endpoint.kv_tokens - worker.account.kv_used_tokens
-            room += request.handle.prefill_tokens
+            kv_free_tokens = (
+                worker.endpoint_state.endpoint.kv_tokens
+                - worker.endpoint_state.kv_used_tokens
+            )
+            kv_free_tokens += request.handle.prefill_tokens
             self._tracked.prefixes.record_sent(
-                worker.endpoint_id, request.handle.prefix_hashes, room, now_ms
+                worker.endpoint_id, request.handle.prefix_hashes, kv_free_tokens, now_ms
             )
         self._tracked.fleet.refresh(worker, now_ms)
 
-    def _judge(
+    def _update_health(
         self, worker: Worker, request: RunningRequest, event: StreamEvent, now_ms: float
     ) -> None:
         if not self._options.stragglers:
@@ -194,7 +197,7 @@
 
     def _check_health(self, worker: Worker, now_ms: float) -> None:
         before = worker.health.state
-        worker.health.check(worker.account, now_ms)
+        worker.health.check(worker.endpoint_state, now_ms)
         if worker.health.state is not before:
             self._tracked.fleet.health_changed(worker, now_ms)
 
