--- a/src/pomelolane/membership/contacts.py
+++ b/src/pomelolane/membership/contacts.py
@@ -25,7 +25,7 @@
     data_centre: str
     seed: bool
     certain: bool
-    since_ms: float = 0.0
+    refreshed_ms: float = 0.0
     next_probe_ms: float = 0.0
     interval_ms: float = PROBE_INTERVAL_MS
 
@@ -88,7 +88,7 @@
             contact = _Contact(data_centre, seed=False, certain=certain)
             self._contacts[vm_id] = contact
         contact.certain = contact.certain or certain
-        contact.since_ms = now_ms
+        contact.refreshed_ms = now_ms
         return is_new
 
     def record_heard(self, vm_id: str, now_ms: float) -> None:
@@ -96,7 +96,7 @@
         contact = self._contacts.get(vm_id)
         if contact is not None:
             contact.certain = True
-            contact.since_ms = now_ms
+            contact.refreshed_ms = now_ms
             contact.interval_ms = PROBE_INTERVAL_MS
 
     def data_centres(self) -> set[str]:
@@ -107,23 +107,23 @@
         self, data_centre: str, alive: Iterable[str], count: int, now_ms: float
     ) -> list[str]:
         """Return up to ``count`` VMs to probe now, the longest overdue first."""
-        silent = [
+        due = [
             (contact.next_probe_ms, vm_id)
             for vm_id, contact in self._contacts.items()
             if contact.data_centre == data_centre and contact.next_probe_ms <= now_ms
         ]
         skipped = set(alive)
-        names = [vm_id for _, vm_id in sorted(silent) if vm_id not in skipped]
-        for vm_id in names[:count]:
+        vm_ids = [vm_id for _, vm_id in sorted(due) if vm_id not in skipped]
+        for vm_id in vm_ids[:count]:
             self._schedule_next_probe(self._contacts[vm_id], now_ms)
-        return names[:count]
+        return vm_ids[:count]
 
     def expire(self, now_ms: float) -> list[str]:
         """Drop and return contacts not refreshed in :data:`CONTACT_TIMEOUT_MS`."""
         old = [
             vm_id
             for vm_id, contact in self._contacts.items()
-            if not contact.seed and now_ms - contact.since_ms > CONTACT_TIMEOUT_MS
+            if not contact.seed and now_ms - contact.refreshed_ms > CONTACT_TIMEOUT_MS
         ]
         for vm_id in old:
             del self._contacts[vm_id]
--- a/src/pomelolane/membership/delegate.py
+++ b/src/pomelolane/membership/delegate.py
@@ -110,8 +110,8 @@
         now_ms = self._context.clock.now_ms()
         if not self.is_delegate and now_ms >= self._advertise_until_ms:
             return {}
-        direct = self._direct
-        return {each: direct.merged(each).digest_hash for each in direct.data_centres()}
+        table = self._direct
+        return {each: table.merged(each).digest_hash for each in table.data_centres()}
 
     def leaving(self) -> set[str]:
         """Return the endpoints that other data centres mark as leaving."""
--- a/src/pomelolane/membership/envelope.py
+++ b/src/pomelolane/membership/envelope.py
@@ -100,10 +100,10 @@
         """Drop the records of senders silent for :data:`SENDER_TIMEOUT_MS`."""
         limit_ms = self._clock.now_ms() - SENDER_TIMEOUT_MS
         silent = [
-            name for name, known in self._senders.items() if known.heard_ms < limit_ms
+            vm_id for vm_id, known in self._senders.items() if known.heard_ms < limit_ms
         ]
-        for name in silent:
-            del self._senders[name]
+        for vm_id in silent:
+            del self._senders[vm_id]
 
 
 def _check_newer(known: _Sender, envelope: Envelope) -> None:
--- a/src/pomelolane/membership/links.py
+++ b/src/pomelolane/membership/links.py
@@ -66,7 +66,7 @@
         self._clock = clock
         self._sequence = 0
         self._queue: deque[tuple[float, bytes]] = deque()
-        self._timer: asyncio.Handle | None = None
+        self._flush_handle: asyncio.Handle | None = None
         self._socket = _open_socket(context, vm_id, keys, server_key)
         self._socket.connect(f"tcp://{address}")
 
@@ -77,26 +77,26 @@
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
             return False
         self._queue.append((self._clock.now_ms(), data))
-        if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_soon(self._flush)
+        if self._flush_handle is None:
+            self._flush_handle = asyncio.get_running_loop().call_soon(self._flush)
         return True
 
     def close(self) -> None:
         """Send queued messages as far as possible without blocking, then close."""
-        if self._timer is not None:
-            self._timer.cancel()
+        if self._flush_handle is not None:
+            self._flush_handle.cancel()
         while self._queue and self._send_batch():
             pass
         self._queue.clear()
         self._socket.close()
 
     def _flush(self) -> None:
-        self._timer = None
+        self._flush_handle = None
         self._drop_overdue()
         while self._queue:
             if not self._send_batch():
                 loop = asyncio.get_running_loop()
-                self._timer = loop.call_later(FLUSH_RETRY_S, self._flush)
+                self._flush_handle = loop.call_later(FLUSH_RETRY_S, self._flush)
                 return
 
     def _send_batch(self) -> bool:
@@ -136,6 +136,7 @@
     socket = context.socket(zmq.DEALER)
     socket.setsockopt(zmq.METADATA, f"{VM_PROPERTY}:{vm_id}".encode())
     socket.setsockopt(zmq.LINGER, CLOSE_LINGER_MS)
+    # Without IMMEDIATE, ZeroMQ would queue messages for a peer before it is connected.
     socket.setsockopt(zmq.IMMEDIATE, 1)
     socket.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
     socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
--- a/src/pomelolane/membership/rendezvous.py
+++ b/src/pomelolane/membership/rendezvous.py
@@ -18,7 +18,7 @@
 
 
 def choose(key: str, candidates: Iterable[str]) -> str | Missing:
-    """Return the candidate with the highest hash for a key."""
+    """Return the candidate with the highest hash for a key, NO_PEER for none."""
     return max(candidates, key=lambda name: (weight(key, name), name), default=NO_PEER)
 
 
--- a/src/pomelolane/membership/viewlog.py
+++ b/src/pomelolane/membership/viewlog.py
@@ -68,11 +68,11 @@
         self._up.clear()
 
     def _log_down(self) -> None:
-        for data_centre in sorted({one for one, _ in self._down.values()}):
+        for data_centre in sorted({centre for centre, _ in self._down.values()}):
             silences_ms = {
                 vm_id: silent_ms
-                for vm_id, (one, silent_ms) in sorted(self._down.items())
-                if one == data_centre
+                for vm_id, (centre, silent_ms) in sorted(self._down.items())
+                if centre == data_centre
             }
             log_event(
                 PEERS_DOWN,
