--- a/src/pomelolane/scheduler/objective/admission.py
+++ b/src/pomelolane/scheduler/objective/admission.py
@@ -71,37 +71,37 @@
         objective_ms = waiting.handle.objective_ms
         if objective_ms <= 0:
             return False
-        held_ms = objective_ms - (waiting.objective_at_ms - now_ms)
-        return held_ms <= self._options.early_share * objective_ms
+        elapsed_ms = objective_ms - (waiting.objective_at_ms - now_ms)
+        return elapsed_ms <= self._options.early_share * objective_ms
 
     def lateness_ms(
         self,
         waiting: WaitingRequest,
-        start_ms: float,
+        wait_ms: float,
         wait_forecast: WaitForecast,
         now_ms: float,
     ) -> float:
         """Return how late an answer would be, negative if it would be on time.
 
-        The predicted wait counts only requests that are ahead now; more urgent ones
-        that arrive later make it longer. That is corrected for only where a request is
-        due no sooner than its caller disconnects, as it would wait in vain. Earlier
-        objectives are not corrected: bursts end, and requests that could be on time
-        would be refused.
+        The predicted wait counts only requests that are ahead now. More urgent ones
+        that arrive later make it longer. It is extended for them only if the request
+        is due when its caller disconnects, as it would then wait in vain. With an
+        earlier objective it is not extended: bursts end, and requests that could be on
+        time would be refused.
 
         Args:
             waiting: The request.
-            start_ms: Predicted wait for a slot.
+            wait_ms: Predicted wait for a slot.
             wait_forecast: The forecast that predicted it.
             now_ms: Current time.
         """
-        start_ms *= self._options.wait_factor
+        wait_ms *= self._options.wait_factor
         if waiting.handle.late_window_ms <= 0:
-            start_ms /= 1.0 - self._more_urgent_share(waiting, wait_forecast, now_ms)
+            wait_ms /= 1.0 - self._more_urgent_share(waiting, wait_forecast, now_ms)
         ttft_ms = (
             wait_forecast.latency.min_ttft_ms(waiting.handle) + self._fleet.margin_ms()
         )
-        return now_ms + start_ms + ttft_ms - waiting.objective_at_ms
+        return now_ms + wait_ms + ttft_ms - waiting.objective_at_ms
 
     def _more_urgent_share(
         self, waiting: WaitingRequest, wait_forecast: WaitForecast, now_ms: float
--- a/src/pomelolane/scheduler/objective/core.py
+++ b/src/pomelolane/scheduler/objective/core.py
@@ -37,7 +37,7 @@
     from pomelolane.scheduler.objective.worker import Worker, WorkerFigures
 
 _MAX_UNPLACED_REQUESTS = 12
-"""Requests that may find no endpoint in one pass over a queue before it stops."""
+"""Requests without a suitable endpoint after which a pass over a queue ends."""
 
 _WITHDRAWN_RETENTION_MS = 15_000.0
 """How long withdrawn request ids are kept: the longest time that callers wait."""
@@ -66,7 +66,7 @@
         self.trial: VersionTrial | None = None
         self._waiting = WaitingRequests()
         self._admission = Admission(options, self._fleet)
-        self._flights: dict[str, str] = {}
+        self._endpoint_by_request: dict[str, str] = {}
         self._withdrawn: dict[str, float] = {}
         self._mean_service_ms = _INITIAL_SERVICE_MS
         self._now_ms = 0.0
@@ -84,7 +84,7 @@
             if endpoint.service == self._service
         }
         for request_id in self._fleet.configure(own, now_ms):
-            self._flights.pop(request_id, None)
+            self._endpoint_by_request.pop(request_id, None)
         self.limits.configure(tree)
         return self._dispatch(now_ms)
 
@@ -132,7 +132,7 @@
     def submit(self, handle: Handle, now_ms: float) -> Sequence[Decision]:
         """Queue a request; a request id already known is ignored."""
         request_id = handle.request_id
-        if request_id in self._waiting or request_id in self._flights:
+        if request_id in self._waiting or request_id in self._endpoint_by_request:
             return []
         if handle.admitted and self._withdrawn.pop(request_id, None) is not None:
             # The charge was refunded when the request was withdrawn because its
@@ -156,13 +156,13 @@
         """Account for a request dispatched under an earlier scheduler."""
         handle = running.handle
         worker = self._fleet.find(running.endpoint_id)
-        if worker is None or handle.request_id in self._flights:
+        if worker is None or handle.request_id in self._endpoint_by_request:
             return
         self._waiting.remove(handle.request_id)
         flight = self._fleet.begin(worker, handle, now_ms)
         if running.started:
             worker.mark_started(flight)
-        self._flights[handle.request_id] = running.endpoint_id
+        self._endpoint_by_request[handle.request_id] = running.endpoint_id
 
     def withdraw(self, request_id: str, now_ms: float) -> Sequence[Decision]:
         """Forget a waiting request, or free a granted one's slot."""
@@ -191,13 +191,13 @@
                 )
         if event.tokens > 0 and event.elapsed_ms > 0:
             worker.learn_event_interval(flight, event.tokens, event.elapsed_ms)
-        begins = event.ttft_ms >= 0 and not flight.started
-        if begins:
+        begins_answer = event.ttft_ms >= 0 and not flight.started
+        if begins_answer:
             worker.learn_ttft(flight, event.ttft_ms, now_ms)
             worker.record_success()
         if not event.finished:
             # A prompt that has been read lets the engine take the next one.
-            return self._dispatch(now_ms) if begins else []
+            return self._dispatch(now_ms) if begins_answer else []
         self._release(event.request_id)
         if self.trial is not None and not event.refused:
             self._report_to_trial(flight, event, now_ms)
@@ -226,7 +226,7 @@
         """Ignore the event: the policy does not use prefix caches."""
 
     def tick(self, now_ms: float) -> Sequence[Decision]:
-        """Suspend silent endpoints, demote late requests and expire deadlines."""
+        """Suspend silent endpoints, and move or refuse requests that are now late."""
         for worker in self._fleet:
             worker.suspend_if_silent(now_ms)
         self._forget_withdrawn(now_ms)
@@ -257,7 +257,7 @@
             del self._withdrawn[request_id]
 
     def _release(self, request_id: str) -> None:
-        endpoint_id = self._flights.pop(request_id, "")
+        endpoint_id = self._endpoint_by_request.pop(request_id, "")
         self._fleet.end(endpoint_id, request_id)
 
     def _trial_worker(self, waiting: WaitingRequest, now_ms: float) -> Worker | None:
@@ -292,8 +292,8 @@
         if self._fleet.available(now_ms):
             return None
         wait_forecast = self._admission.recent_forecast(self._waiting, now_ms)
-        start_ms = wait_forecast.start_ms(waiting.key, now_ms)
-        refusal = self._refuse_if_late(waiting, start_ms, wait_forecast, now_ms)
+        wait_ms = wait_forecast.wait_ms(waiting.key, now_ms)
+        refusal = self._refuse_if_late(waiting, wait_ms, wait_forecast, now_ms)
         if refusal is None:
             wait_forecast.add(waiting.key, handle)
         return refusal
@@ -301,12 +301,12 @@
     def _refuse_if_late(
         self,
         waiting: WaitingRequest,
-        start_ms: float,
+        wait_ms: float,
         wait_forecast: WaitForecast,
         now_ms: float,
     ) -> Refusal | None:
-        """Return a refusal if the predicted start is too late for the objective."""
-        late_ms = self._admission.lateness_ms(waiting, start_ms, wait_forecast, now_ms)
+        """Return a refusal if the predicted wait is too long for the objective."""
+        late_ms = self._admission.lateness_ms(waiting, wait_ms, wait_forecast, now_ms)
         if late_ms <= 0:
             return None
         return self._refusal(Reason.DEADLINE_UNREACHABLE, late_ms)
@@ -343,7 +343,7 @@
         return Refusal(Outcome.NOT_RUN, reason, bounded)
 
     def _expire(self, now_ms: float) -> list[Decision]:
-        """Demote requests past their objective and refuse those that expire.
+        """Move requests past their objective to the late queue; refuse expired ones.
 
         A request without an objective, or one whose caller is about to disconnect, is
         refused while the caller still waits for the response.
@@ -420,7 +420,7 @@
         if worker.rate is not None:
             worker.rate.take(now_ms)
         self.limits.granted(handle, handle.charge_tokens, waiting.submitted_ms, now_ms)
-        self._flights[handle.request_id] = worker.endpoint.endpoint_id
+        self._endpoint_by_request[handle.request_id] = worker.endpoint.endpoint_id
         if self.trial is not None:
             self.trial.count_grant(worker.endpoint.endpoint_id, handle.work)
         grant = Grant(
--- a/src/pomelolane/scheduler/objective/fleet.py
+++ b/src/pomelolane/scheduler/objective/fleet.py
@@ -20,7 +20,8 @@
     from pomelolane.scheduler.objective.rate import EndpointRateLimit
     from pomelolane.scheduler.objective.waiting import WaitingRequest
 
-_NO_LIMIT_MS = float("inf")
+_INFINITE_MS = float("inf")
+"""No time limit, or the score of an endpoint that must not get a request."""
 
 _FASTEST_CACHE_MS = 50.0
 """How long the fastest endpoint is cached: the tick period. Searching all endpoints for
@@ -94,15 +95,15 @@
     def _retain_rate(self, worker: Worker) -> None:
         """Retain a rate limit in case the registry has lost the endpoint briefly."""
         if worker.rate is not None:
-            start = worker.endpoint.endpoint_id, worker.endpoint.born_ms
-            self._retained_rates[start] = worker.rate
+            instance = worker.endpoint.endpoint_id, worker.endpoint.born_ms
+            self._retained_rates[instance] = worker.rate
 
     def _restore_rate(
         self, endpoint: Endpoint, now_ms: float
     ) -> EndpointRateLimit | None:
         self._retained_rates = {
-            start: rate
-            for start, rate in self._retained_rates.items()
+            instance: rate
+            for instance, rate in self._retained_rates.items()
             if now_ms - rate.last_set_ms < LIMIT_KEPT_MS
         }
         return self._retained_rates.pop((endpoint.endpoint_id, endpoint.born_ms), None)
@@ -184,7 +185,7 @@
     def place(
         self, waiting: WaitingRequest, workers: list[Worker], now_ms: float
     ) -> Worker | None:
-        """Return the endpoint with the shortest predicted time to first byte.
+        """Return the endpoint with the lowest score (see :meth:`Worker.score_ms`).
 
         Args:
             waiting: The request.
@@ -198,7 +199,7 @@
         excluded = handle.excluded
         left_ms = self._max_duration_ms(waiting, now_ms)
         best = None
-        best_score_ms = _NO_LIMIT_MS
+        best_score_ms = _INFINITE_MS
         for worker in workers:
             if excluded and worker.endpoint.endpoint_id in excluded:
                 continue
@@ -239,7 +240,7 @@
             worker.update_max_prompt(now_ms)
             ttft_ms = worker.predict_ttft_ms(handle)
             is_in_time = now_ms + ttft_ms + self.margin_ms() <= due_ms
-            if is_in_time and worker.score_ms(handle, left_ms) < _NO_LIMIT_MS:
+            if is_in_time and worker.score_ms(handle, left_ms) < _INFINITE_MS:
                 return worker
         return None
 
@@ -287,7 +288,7 @@
         for worker in self._workers.values():
             if worker.duration_ms(handle) <= left_ms:
                 return left_ms
-        return _NO_LIMIT_MS
+        return _INFINITE_MS
 
 
 def longest_accepted_prompt(workers: Iterable[Worker]) -> float:
--- a/src/pomelolane/scheduler/objective/forecast.py
+++ b/src/pomelolane/scheduler/objective/forecast.py
@@ -128,7 +128,7 @@
 
 
 class WaitForecast:
-    """Predicted start time of each waiting request.
+    """Predicted time until each waiting request gets a slot.
 
     Args:
         forecast: Forecast of the slots, without waiting requests.
@@ -162,12 +162,12 @@
         """Return the wait of the next request to append, from ``created_ms`` on."""
         return self._forecast.next_ms()
 
-    def start_ms(self, key: QueueKey, now_ms: float) -> float:
+    def wait_ms(self, key: QueueKey, now_ms: float) -> float:
         """Return how long a request that arrives now would wait."""
         position = bisect_right(self._keys, key)
-        ahead = position < len(self._keys)
-        start_ms = self._starts_ms[position] if ahead else self._forecast.next_ms()
-        added_ms = sum(taken for other, taken in self._added if other <= key)
+        has_next = position < len(self._keys)
+        start_ms = self._starts_ms[position] if has_next else self._forecast.next_ms()
+        added_ms = sum(busy_ms for other, busy_ms in self._added if other <= key)
         since_ms = now_ms - self.created_ms
         return max(0.0, start_ms + added_ms / self.slots - since_ms)
 
--- a/src/pomelolane/scheduler/objective/options.py
+++ b/src/pomelolane/scheduler/objective/options.py
@@ -9,6 +9,9 @@
 class ObjectiveOptions:
     """Constants for predicting response times, queueing and suspending endpoints.
 
+    An endpoint of speed 1 takes as long as these constants say. The learnt slowdown of
+    an endpoint is a factor on these times.
+
     Attributes:
         prefill_per_ms: Prompt tokens that an engine of speed 1 reads per millisecond
             (55 in the users' data sheets).
--- a/src/pomelolane/scheduler/objective/rate.py
+++ b/src/pomelolane/scheduler/objective/rate.py
@@ -5,8 +5,8 @@
 import math
 
 _BURST_S = 0.25
-"""Burst size in seconds of the rate, small because a strained endpoint needs an even
-flow of requests."""
+"""Capacity of the token bucket, in seconds at the announced rate. It is small because a
+strained endpoint needs an even flow of requests."""
 
 _MIN_PER_S = 0.2
 """Lowest rate that is applied, so that an occasional request finds out whether a lower
--- a/src/pomelolane/scheduler/objective/waiting.py
+++ b/src/pomelolane/scheduler/objective/waiting.py
@@ -68,7 +68,11 @@
 
 
 class RequestQueue:
-    """Priority queue of waiting requests; removed entries are skipped on access."""
+    """Priority queue of waiting requests; removed entries are skipped on access.
+
+    Args:
+        late: Whether it holds the late requests, instead of those on time.
+    """
 
     def __init__(self, late: bool) -> None:
         self._late = late
@@ -98,7 +102,7 @@
 
 
 class WaitingRequests:
-    """All waiting requests of a core, in one queue on time and one of late requests."""
+    """All waiting requests of a core, the on-time and the late ones in two queues."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, WaitingRequest] = {}
--- a/src/pomelolane/scheduler/objective/worker.py
+++ b/src/pomelolane/scheduler/objective/worker.py
@@ -30,8 +30,8 @@
 _INELIGIBLE_MS = float("inf")
 
 _MIN_REMAINING_SHARE = 0.3
-"""Remaining part of the expected length that is assumed at least, also for answers that
-have grown longer than expected."""
+"""Lower bound on the share of the expected length that is assumed to remain, also for
+answers that are already longer than expected."""
 
 
 @dataclass(slots=True)
@@ -124,6 +124,7 @@
     pending_prompt_tokens: int = 0
     reserved_kv_tokens: int = 0
     max_prompt_tokens: float = _UNLIMITED_TOKENS
+    # Cached result of _compute_min_gap_ms; None if it must be computed again.
     _min_gap_ms: int | None = 0
 
     def is_available(self, now_ms: float) -> bool:
@@ -131,7 +132,7 @@
         return not self.leaving and self.is_available_for_trial(now_ms)
 
     def is_available_for_trial(self, now_ms: float) -> bool:
-        """Return the same as :meth:`is_available` for one that is only used in a trial.
+        """Return whether it may get a request of a version trial, with a free slot.
 
         Endpoints on trial are marked as leaving to keep other requests away.
         """
@@ -144,11 +145,11 @@
         return self.rate is None or self.rate.wait_ms(now_ms) <= 0
 
     def is_suspended_or_probing(self, now_ms: float) -> bool:
-        """Return whether it is suspended, or on probation after a suspension."""
+        """Return whether it is suspended, or probed after a suspension."""
         return self.probing or now_ms < self.suspended_until_ms
 
     def usable_slots(self, share: float) -> int:
-        """Return how many slots may be used at a share of them, at least one."""
+        """Return a share of the number of slots, rounded down but at least 1."""
         return max(1, int(self.endpoint.slots * share))
 
     def idle_ttft_ms(self, handle: Handle) -> float:
@@ -240,8 +241,8 @@
 
     def _expected_event_interval_ms(self) -> float:
         options = self.options
-        declared_ms = self.event_size.tokens * options.token_ms * self.slowdown
-        return self.event_interval_ms or declared_ms
+        initial_ms = self.event_size.tokens * options.token_ms * self.slowdown
+        return self.event_interval_ms or initial_ms
 
     def latency_model(self) -> LatencyModel:
         """Return the latency model for requests granted now."""
@@ -274,8 +275,10 @@
         if readable >= steps * options.prefill_chunk_tokens:
             self.max_prompt_tokens = _UNLIMITED_TOKENS
             return
-        read = self._recent_tokens_since(now_ms - gap_ms)
-        self.max_prompt_tokens = max(0.0, readable - self.pending_prompt_tokens - read)
+        recent = self._recent_tokens_since(now_ms - gap_ms)
+        self.max_prompt_tokens = max(
+            0.0, readable - self.pending_prompt_tokens - recent
+        )
 
     def _compute_min_gap_ms(self) -> int:
         """Return the shortest pause that running streams allow, 0 for no limit."""
@@ -331,7 +334,7 @@
         self.slowdown += step * (ratio - self.slowdown)
 
     def record_success(self) -> None:
-        """Record a successful answer; end any suspension and probation."""
+        """Record a successful answer; end any suspension and probing."""
         self.failures = 0
         self.probing = False
         self.suspended_until_ms = 0.0
@@ -346,7 +349,7 @@
             self.suspend(now_ms)
 
     def record_refusal(self, now_ms: float) -> None:
-        """Suspend briefly after a refusal: others use its slots, or it is down."""
+        """Suspend it briefly: it is down, or other schedulers use its slots."""
         self.failures += 1
         pause_ms = self.options.refused_pause_ms * 2 ** min(self.failures - 1, 5)
         self.suspended_until_ms = max(self.suspended_until_ms, now_ms + pause_ms)
