--- a/src/pomelolane/rollouts/judge.py
+++ b/src/pomelolane/rollouts/judge.py
@@ -27,8 +27,9 @@
 hypothesis of the test."""
 
 MAX_CHANCE_PROBABILITY = 1e-5
-"""Highest probability, for a version as good as the old one, of so many bad answers in
-the period of an alarm. It is low as alarms select periods with many bad answers."""
+"""Probability above which an alarm counts as chance: that of as many bad answers from a
+version as good as the old one. It is low as alarms select periods with many bad
+answers."""
 
 MIN_SHARE_STANDARD_ERRORS = 3.0
 """Standard errors by which the new endpoints' share of bad answers must exceed that of
@@ -54,7 +55,8 @@
 """Share of bad answers above which an old endpoint counts as faulty by itself."""
 
 MAX_OUTLIERS_PROBABILITY = 0.01
-"""Probability of so many faulty endpoints below which the version is blamed instead."""
+"""Probability below which as many faulty endpoints are not chance: the version is
+rejected."""
 
 _MIN_ENDPOINTS = 3
 _ENOUGH_ENDPOINTS = 6
@@ -191,6 +193,7 @@
         if answer.endpoint_id in self.outliers or not self.is_ready:
             return
         for symptom in Symptom:
+            # The empty route stands for all routes together.
             for route in ("", answer.work):
                 self._update_sum(symptom, route, recorded)
         if self.new_answers % _MIN_ANSWERS == 0:
--- a/src/pomelolane/rollouts/rollouts.py
+++ b/src/pomelolane/rollouts/rollouts.py
@@ -233,12 +233,12 @@
         )
         self.on_change()
 
-    def _start_record_task(self, rollout: _Rollout, work: object) -> None:
+    def _start_record_task(self, rollout: _Rollout, coroutine: object) -> None:
         """Start a read or write of the record, unless one is in progress."""
         if rollout.task is not None and not rollout.task.done():
-            work.close()
+            coroutine.close()
             return
-        rollout.task = asyncio.get_running_loop().create_task(work)
+        rollout.task = asyncio.get_running_loop().create_task(coroutine)
 
     def _end_trial(self, rollout: _Rollout) -> None:
         """Stop the trial; no more answers are judged."""
--- a/src/pomelolane/rollouts/trial.py
+++ b/src/pomelolane/rollouts/trial.py
@@ -64,7 +64,8 @@
     """The trial of one order at one scheduler.
 
     A scheduler that takes over starts with new counters. Each one stays within the
-    allowed share of the requests that it sees itself, so none are handed over.
+    allowed share of the requests that it sees itself, so counters are not handed
+    over.
 
     Args:
         order: The order.
--- a/tests/steps/rollouts_judge_steps.py
+++ b/tests/steps/rollouts_judge_steps.py
@@ -9,14 +9,14 @@
 
 ROUTES = ("long", "short", "rare")
 ROUTE_WEIGHTS = (5, 4, 2)
-NEW_EACH = 6
+ANSWERS_PER_NEW = 6
 """One answer in this many comes from the new version."""
 
 ENDPOINTS = 12
-FOCUS_ANSWERS = 8
+BURST_ANSWERS = 8
 SPEEDS = (0.7, 0.7, 3.0)
 USUAL_ERROR_SHARE = 0.01
-BEGINS = 100
+ONSET_ANSWERS = 100
 ANSWER_MS = 10.0
 
 
@@ -46,7 +46,9 @@
     "failing on one route of three": Case(
         fails=lambda route, n: 0.6 if route == "short" else 0.0
     ),
-    "failing from answer 100 on": Case(fails=lambda route, n: 0.5 * (n > BEGINS)),
+    "failing from answer 100 on": Case(
+        fails=lambda route, n: 0.5 * (n > ONSET_ANSWERS)
+    ),
     "slower by six times": Case(slows=lambda draw: 6.0),
     "slower by four times for half": Case(
         slows=lambda draw: 4.0 if draw.random() < 0.5 else 1.0
@@ -54,7 +56,7 @@
     "good": Case(),
     "good, and both versions fail for a seventh": Case(both_fail=lambda n: 1 / 7),
     "good, and both versions begin to fail": Case(
-        both_fail=lambda n: 0.5 * (n > BEGINS)
+        both_fail=lambda n: 0.5 * (n > ONSET_ANSWERS)
     ),
     "good, and one of its endpoints fails": Case(
         failing_endpoints=lambda draw: {"new-3"}
@@ -78,10 +80,10 @@
 
 @when("up to {answers:d} of its answers are judged in {trials:d} seeded trials")
 def step_trials(context, answers, trials):
-    context.judges = [_play(context.case, answers, seed) for seed in range(trials)]
+    context.judges = [_run_trial(context.case, answers, seed) for seed in range(trials)]
 
 
-def _play(case, answers, seed):
+def _run_trial(case, answers, seed):
     draw = random.Random(seed)
     judge = VersionJudge()
     judge.new_endpoints = ENDPOINTS
@@ -105,11 +107,11 @@
 
 
 def _answer(case, judge, draw, failing, speeds):
-    is_new = draw.randrange(NEW_EACH) == 0
+    is_new = draw.randrange(ANSWERS_PER_NEW) == 0
     route = draw.choices(ROUTES, ROUTE_WEIGHTS)[0]
     number = judge.new_answers
-    focus = number // FOCUS_ANSWERS % ENDPOINTS
-    name = f"new-{focus}" if is_new else f"old-{draw.randrange(ENDPOINTS)}"
+    burst_endpoint = number // BURST_ANSWERS % ENDPOINTS
+    name = f"new-{burst_endpoint}" if is_new else f"old-{draw.randrange(ENDPOINTS)}"
     fail_share = USUAL_ERROR_SHARE
     if is_new and case.fails:
         fail_share = max(fail_share, case.fails(route, number))
@@ -120,19 +122,19 @@
     slowness = speeds[name] * draw.lognormvariate(0.0, 0.35)
     if is_new and case.slows:
         slowness *= case.slows(draw)
-    if case.overload and BEGINS < number < 2 * BEGINS:
+    if case.overload and ONSET_ANSWERS < number < 2 * ONSET_ANSWERS:
         slowness *= draw.uniform(1.0, 8.0)
     return VersionAnswer(name, route, is_new, draw.random() < fail_share, slowness)
 
 
 @then("it is rejected in {least:d} trials at least, after {most:d} bad answers at most")
-def step_condemned(context, least, most):
+def step_rejected(context, least, most):
     found = [judge for judge in context.judges if judge.is_bad]
     late = [judge.bad_answers for judge in found if judge.bad_answers > most]
     assert len(found) >= least and not late, (len(found), late)
 
 
 @then("it is rejected in {most:d} trial at most")
-def step_kept(context, most):
+def step_not_rejected(context, most):
     reasons = [judge.reason for judge in context.judges if judge.is_bad]
     assert len(reasons) <= most, reasons
