--- a/tests/scheduler/load/long_prompts.feature
+++ b/tests/scheduler/load/long_prompts.feature
@@ -7,7 +7,7 @@
   regard to streams; the bounds are about half of that.
 
   Scenario Outline: Not stalling streams raises the score
-    When the load of day <seed> is simulated
+    When a day of load drawn from seed <seed> is simulated
     And it is simulated again with "gap_share" at 100
     Then the first run scores at least <more> more
 
--- a/tests/scheduler/load/overload.feature
+++ b/tests/scheduler/load/overload.feature
@@ -9,7 +9,7 @@
   bounded by the callers' patience, and at most one in five hundred does since.
 
   Scenario Outline: Requests that cannot be on time do not delay others
-    When the load of day <seed> is simulated
+    When a day of load drawn from seed <seed> is simulated
     Then the run scores at least <least>
 
     Examples:
@@ -18,7 +18,7 @@
       | 2    | 0.70  |
 
   Scenario Outline: Callers are refused before they disconnect
-    When the load of day <seed> is simulated
+    When a day of load drawn from seed <seed> is simulated
     Then at most <most> of the callers disconnect
 
     Examples:
--- a/tests/scheduler/load/unlike_engines.feature
+++ b/tests/scheduler/load/unlike_engines.feature
@@ -6,7 +6,7 @@
   bounds are half of that.
 
   Scenario Outline: Learnt speeds raise the score
-    When the load of day <seed> is simulated
+    When a day of load drawn from seed <seed> is simulated
     And it is simulated again with "speed_step" at 0
     Then the first run scores at least <more> more
 
--- a/tests/steps/objective_steps.py
+++ b/tests/steps/objective_steps.py
@@ -40,7 +40,7 @@
 
 
 @when("the objective core receives the requests")
-def step_given(context):
+def step_receive(context):
     for row in context.table:
         cells = dict(row.items())
         budget_ms = int(cells.get("budget_ms", 60_000))
@@ -296,7 +296,7 @@
     'a request of {tokens:d} tokens of "o" fails '
     "and its retry is withdrawn while it waits"
 )
-def step_repeat_withdrawn(context, tokens):
+def step_retry_withdrawn(context, tokens):
     context.core.submit(_charged("r.0", tokens))
     context.core.event("r.0", finished=True, outcome="failed")
     context.core.submit(_charged("other", 0))
@@ -335,7 +335,7 @@
 
 
 @then('exactly {tokens:d} tokens of "o" may still pass')
-def step_room(context, tokens):
+def step_remaining(context, tokens):
     (window,) = context.core.core.limits._windows()
     assert window.wait_ms(tokens, context.core.now) == 0
     assert window.wait_ms(tokens + 1, context.core.now) > 0
@@ -362,7 +362,7 @@
 
 
 @when("{tokens:d} tokens charged at {then_ms:d} ms are refunded at {ms:d} ms")
-def step_given_back(context, tokens, then_ms, ms):
+def step_refunded(context, tokens, then_ms, ms):
     assert context.window.wait_ms(1, ms) >= 0
     context.window.give_back(tokens, then_ms)
 
@@ -417,7 +417,7 @@
 
 
 @when('a request arrives in data centre "{place}"')
-def step_comes_in(context, place):
+def step_arrives(context, place):
     handle = msgspec.structs.replace(_handle("placed"), data_centre=place)
     context.core.submit(handle)
 
@@ -445,7 +445,7 @@
 
 
 @when('"{endpoint}" restarts under the same id')
-def step_starts_again(context, endpoint):
+def step_restarts(context, endpoint):
     context.before = next(iter(context.core.running))
     context.core.endpoints = [
         replace(one, born_ms=one.born_ms + 1) if one.endpoint_id == endpoint else one
@@ -455,7 +455,7 @@
 
 
 @then('"{endpoint}" has the statistics of a new endpoint')
-def step_unknown(context, endpoint):
+def step_new_statistics(context, endpoint):
     figures = context.core.core.status()[endpoint]
     assert figures.slowdown == 1.0, figures
     assert figures.fail_share == 0.0, figures
@@ -463,7 +463,7 @@
 
 
 @when('an event arrives of a request from before the restart of "{endpoint}"')
-def step_late_word(context, endpoint):
+def step_late_event(context, endpoint):
     del endpoint
     context.core.event(context.before, ttft_ms=9_000.0)
     context.core.event(context.before, finished=True, outcome="failed")
--- a/tests/steps/scheduler_load_plain_steps.py
+++ b/tests/steps/scheduler_load_plain_steps.py
@@ -47,13 +47,13 @@
     return [call for call in calls if BURST_FROM_MS <= call.at_ms < until_ms]
 
 
-def _each(context, kind):
+def _calls_by_burst(context, kind):
     return [[c for c in calls if c.kind.name == kind] for calls in context.bursts]
 
 
 @then('each time at least {share:f} of its answers to "{kind}" are on time')
 def step_on_time(context, share, kind):
-    shares = [share_on_time(calls) for calls in _each(context, kind)]
+    shares = [share_on_time(calls) for calls in _calls_by_burst(context, kind)]
     assert min(shares) >= share, shares
 
 
@@ -61,6 +61,6 @@
 def step_leave(context, share, kind):
     shares = [
         sum(call.state == "left" for call in calls) / len(calls)
-        for calls in _each(context, kind)
+        for calls in _calls_by_burst(context, kind)
     ]
     assert max(shares) <= share, shares
--- a/tests/steps/scheduler_load_steps.py
+++ b/tests/steps/scheduler_load_steps.py
@@ -14,7 +14,7 @@
     return score_play(play)
 
 
-@when("the load of day {seed:d} is simulated")
+@when("a day of load drawn from seed {seed:d} is simulated")
 def step_play(context, seed):
     context.seed = seed
     context.score = _play(seed)
@@ -42,11 +42,11 @@
 
 
 @then("the first run scores at least {more:f} more")
-def step_worth_more(context, more):
+def step_scores_more(context, more):
     gain = context.score.worth - context.other.worth
     assert gain >= more, gain
 
 
 @then("the run scores at least {least:f}")
-def step_worth(context, least):
+def step_scores_at_least(context, least):
     assert context.score.worth >= least, context.score.worth
--- a/tests/steps/scheduler_rate_steps.py
+++ b/tests/steps/scheduler_rate_steps.py
@@ -40,22 +40,22 @@
 
 
 @when('an answer of "{endpoint}" announces a limit of {per_s:g} requests per second')
-def step_names(context, endpoint, per_s):
+def step_announces_limit(context, endpoint, per_s):
     _answer(context, _grant_new_request(context, endpoint), per_s)
 
 
 @when('an answer of "{endpoint}" announces no limit')
-def step_names_none(context, endpoint):
+def step_announces_no_limit(context, endpoint):
     _answer(context, _grant_new_request(context, endpoint), math.inf)
 
 
 @when('a request is granted on "{endpoint}"')
-def step_one(context, endpoint):
+def step_grant_early(context, endpoint):
     context.early = _grant_new_request(context, endpoint)
 
 
 @when("that request's answer announces no limit")
-def step_early(context):
+def step_answer_early(context):
     _answer(context, context.early, math.inf)
 
 
@@ -63,7 +63,7 @@
     "a gateway reports a limit of {per_s:g} requests per second "
     'from "{endpoint}", {age_ms:d} ms old'
 )
-def step_told(context, endpoint, per_s, age_ms):
+def step_gateway_reports(context, endpoint, per_s, age_ms):
     now_ms = context.core.now
     context.core.core.hear_limit(endpoint, per_s, now_ms - age_ms, now_ms)
 
@@ -77,7 +77,7 @@
 
 
 @when('"{endpoint}" restarts')
-def step_starts_again(context, endpoint):
+def step_restarts(context, endpoint):
     endpoints = [replace(one, born_ms=BORN_MS) for one in context.core.endpoints]
     context.core.configure(endpoints)
 
@@ -138,7 +138,7 @@
 
 
 @when("none of them hears any other")
-def step_all_alone(context):
+def step_all_isolated(context):
     world = context.world
     world.network.cuts |= {frozenset(pair) for pair in combinations(world.vms, 2)}
 
@@ -212,6 +212,6 @@
     headers = [(b"server-limit", value.encode())] if value else []
     notice = PlatformDialect().read_notice(status, headers)
     expected = {"no limit": math.inf, "nothing": None, "nothing readable": None}
-    named = expected[limit] if limit in expected else float(limit)
-    assert notice.limit_per_s == named, notice
+    announced = expected[limit] if limit in expected else float(limit)
+    assert notice.limit_per_s == announced, notice
     assert bool(notice.rejected) == (limit == "nothing readable"), notice
