--- a/src/pomelolane/scheduler/affinity.py
+++ b/src/pomelolane/scheduler/affinity.py
@@ -15,8 +15,8 @@
     from pomelolane.ports import CacheEvent
 
 BLOCK_TOKENS = 256
-_EVENT_LAG_MS = 2_000.0
-_GAP_FACTOR = 0.7
+_MAX_EVENT_LAG_MS = 2_000.0
+_CONFIDENCE_AFTER_GAP_FACTOR = 0.7
 _CONFIDENCE_STEP = 0.2
 _FIRST_CONFIDENCE = 0.95
 _NO_HOLDERS: frozenset[str] = frozenset()
@@ -107,13 +107,14 @@
         if record is None:
             return
         if record.sequence >= 0 and event.sequence > record.sequence + 1:
-            record.confidence *= _GAP_FACTOR
+            record.confidence *= _CONFIDENCE_AFTER_GAP_FACTOR
         record.sequence = max(record.sequence, event.sequence)
         if event.stored:
             self._store(event.endpoint_id, record, event.prefix_hash, now_ms)
             return
+        # An eviction event may be older than the last prompt with this block.
         stored_ms = record.blocks.get(event.prefix_hash)
-        if stored_ms is not None and now_ms - stored_ms > _EVENT_LAG_MS:
+        if stored_ms is not None and now_ms - stored_ms > _MAX_EVENT_LAG_MS:
             self._evict(event.endpoint_id, record, event.prefix_hash)
 
     def _store(
--- a/src/pomelolane/scheduler/core.py
+++ b/src/pomelolane/scheduler/core.py
@@ -75,7 +75,7 @@
             self._queue, self._placer, self._running, options, self._may_dispatch
         )
         self._waiting: dict[str, WaitingRequest] = {}
-        self._checks: list[tuple[float, int, WaitingRequest]] = []
+        self._start_checks: list[tuple[float, int, WaitingRequest]] = []
         self._sequence = count()
 
     def configure(self, tree: Tree, now_ms: float) -> Sequence[Decision]:
@@ -239,7 +239,7 @@
         self._schedule_check(waiting.safe_start_ms, waiting)
 
     def _schedule_check(self, time_ms: float, waiting: WaitingRequest) -> None:
-        heapq.heappush(self._checks, (time_ms, next(self._sequence), waiting))
+        heapq.heappush(self._start_checks, (time_ms, next(self._sequence), waiting))
 
     def _remove_waiting(self, waiting: WaitingRequest) -> None:
         del self._waiting[waiting.handle.request_id]
@@ -251,10 +251,10 @@
         return Decision(waiting.handle.request_id, refusal)
 
     def _expire(self, now_ms: float) -> list[Decision]:
-        """Refuse requests that can no longer meet their deadline at current speeds."""
+        """Refuse requests that must miss their deadline and defer those that may."""
         decisions: list[Decision] = []
-        while self._checks and self._checks[0][0] < now_ms:
-            waiting = heapq.heappop(self._checks)[2]
+        while self._start_checks and self._start_checks[0][0] < now_ms:
+            waiting = heapq.heappop(self._start_checks)[2]
             if not waiting.queued:
                 continue
             self._admission.predict_latest_start(waiting, now_ms)
--- a/src/pomelolane/scheduler/endpoint_state.py
+++ b/src/pomelolane/scheduler/endpoint_state.py
@@ -77,6 +77,9 @@
 
     Attributes:
         slots: Usable slots, at least one.
+        kv_used_tokens: KV cache tokens that the running requests need at their end.
+        prefill_tokens_ahead: Prompt tokens granted and not yet processed.
+        prefill_free_ms: Predicted time at which these are processed.
         prefill_per_ms: Observed prefill speed, tokens per ms.
         decode_per_ms: Observed decode speed of one stream, tokens per ms.
     """
@@ -92,7 +95,7 @@
         self.slots = max(1, endpoint.slots)
         self.last_first_token_ms = 0.0
         self._learn_speeds = learn_speeds
-        self._foreign = 0.0
+        self._foreign_requests = 0.0
         self._foreign_at_ms = 0.0
         self._history_ms: list[float] = []
         self._history_count: list[int] = []
@@ -104,7 +107,7 @@
     @property
     def has_foreign_load(self) -> bool:
         """Whether load reports showed load from other schedulers."""
-        return self._foreign > 0
+        return self._foreign_requests > 0
 
     def update_declaration(self, endpoint: Endpoint) -> None:
         """Apply a new declaration."""
@@ -119,7 +122,7 @@
     def free_slots(self, now_ms: float) -> int:
         """Return slots used neither by own requests nor by reported foreign load."""
         free = self.slots - len(self.running_requests)
-        if not self._foreign:
+        if not self._foreign_requests:
             return free
         return free - round(self._foreign_load(now_ms))
 
@@ -192,14 +195,14 @@
         """
         taken_ms = now_ms - report.age_ms
         excess = max(0, report.running + report.waiting - self._count_at(taken_ms))
-        self._foreign = excess * 0.5 ** (report.age_ms / _FOREIGN_HALF_LIFE_MS)
+        self._foreign_requests = excess * 0.5 ** (report.age_ms / _FOREIGN_HALF_LIFE_MS)
         self._foreign_at_ms = now_ms
 
     def _foreign_load(self, now_ms: float) -> float:
-        if not self._foreign:
+        if not self._foreign_requests:
             return 0.0
         age_ms = now_ms - self._foreign_at_ms
-        return self._foreign * 0.5 ** (age_ms / _FOREIGN_HALF_LIFE_MS)
+        return self._foreign_requests * 0.5 ** (age_ms / _FOREIGN_HALF_LIFE_MS)
 
     def _record_first_token(
         self, request: RunningRequest, event: StreamEvent, now_ms: float
--- a/src/pomelolane/scheduler/estimate.py
+++ b/src/pomelolane/scheduler/estimate.py
@@ -19,7 +19,7 @@
 _QUANTILES = (0.1, 0.6, 0.98)
 _MAX_ANSWERS = 128
 _MIN_ANSWERS = 64
-_CUT_FACTOR = 1.25
+_CUT_LENGTH_FACTOR = 1.25
 _START_BUDGET_SHARE = 0.8
 
 
@@ -126,7 +126,7 @@
         """Estimate the ratio that a cut answer would have had when complete."""
         longer = self._sorted[bisect_right(self._sorted, ratio) :]
         if not longer:
-            return min(_MAX_RATIO, _CUT_FACTOR * ratio)
+            return min(_MAX_RATIO, _CUT_LENGTH_FACTOR * ratio)
         return sum(longer) / len(longer)
 
 
--- a/src/pomelolane/scheduler/health.py
+++ b/src/pomelolane/scheduler/health.py
@@ -24,7 +24,7 @@
 _MIN_BASELINE_TOKENS = 48
 _MIN_RECOVERY_TOKENS = 4
 _MIN_SILENCE_MS = 1_000.0
-_SILENCE_GAPS = 6.0
+_SILENCE_TOKEN_GAPS = 6.0
 _OVERDUE_FACTOR = 3.0
 _MIN_PROBE_BACKOFF_MS = 500.0
 _MAX_PROBE_BACKOFF_MS = 5_000.0
@@ -83,7 +83,7 @@
         if self.state is HealthState.DOWN:
             self._mark_healthy()
         if event.tokens <= 0 or event.elapsed_ms <= 0 or not self._uses_token_rate:
-            self._judge_probe_without_tokens(request, event, now_ms)
+            self._check_probe_without_tokens(request, event, now_ms)
             return
         self._recent.add(event.tokens, event.elapsed_ms)
         self._recovery_tokens += event.tokens
@@ -112,7 +112,7 @@
         return max(0.0, self._probe_ms - now_ms)
 
     def _is_silent(self, state: EndpointState, now_ms: float) -> bool:
-        gap_ms = _SILENCE_GAPS / state.decode_per_ms
+        gap_ms = _SILENCE_TOKEN_GAPS / state.decode_per_ms
         return now_ms - self._last_event_ms > max(_MIN_SILENCE_MS, gap_ms)
 
     def _is_overdue(self, state: EndpointState, now_ms: float) -> bool:
@@ -141,10 +141,10 @@
         elif has_answered and self.slowdown < _RECOVERED_SLOWDOWN:
             self._mark_healthy()
 
-    def _judge_probe_without_tokens(
+    def _check_probe_without_tokens(
         self, request: RunningRequest, event: StreamEvent, now_ms: float
     ) -> None:
-        """Evaluate a probe that ends without tokens, as plain calls do."""
+        """Mark a straggler healthy after a fast probe that produced no tokens."""
         if (
             self.state is HealthState.STRAGGLING
             and event.finished
--- a/src/pomelolane/scheduler/out_of_order.py
+++ b/src/pomelolane/scheduler/out_of_order.py
@@ -79,8 +79,8 @@
         """Return the request that probes an unhealthy endpoint.
 
         A deferred request that only a short answer can finish in time comes first,
-        because elsewhere all others of its tier go before it. Otherwise it is a
-        request of the lowest tier, to spare higher tiers the risk.
+        because on healthy endpoints all others of its tier go before it. Otherwise it
+        is a request of the lowest tier, to spare higher tiers the risk.
         """
         return self._select_urgent_for_probe(
             worker, now_ms
--- a/src/pomelolane/scheduler/queue.py
+++ b/src/pomelolane/scheduler/queue.py
@@ -49,6 +49,8 @@
 
 @dataclass(slots=True, eq=False)
 class _Organisation(_Share):
+    """Waiting requests of one organisation in one tier."""
+
     team: _Team = None  # type: ignore[assignment]
     by_deadline: list[tuple[float, int, WaitingRequest]] = field(default_factory=list)
     by_arrival: OrderedDict[str, WaitingRequest] = field(default_factory=OrderedDict)
@@ -67,12 +69,16 @@
 
 @dataclass(slots=True, eq=False)
 class _Team(_Share):
+    """Organisations of one team in one tier, ordered by virtual time."""
+
     organisations: dict[str, _Organisation] = field(default_factory=dict)
     heap: list[tuple[float, int, _Organisation]] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class _Tier:
+    """Teams of one tier, ordered by virtual time, and sums of its waiting work."""
+
     min_virtual_time: float = 0.0
     teams: dict[str, _Team] = field(default_factory=dict)
     heap: list[tuple[float, int, _Team]] = field(default_factory=list)
--- a/src/pomelolane/scheduler/running.py
+++ b/src/pomelolane/scheduler/running.py
@@ -60,11 +60,11 @@
         self._options = options
         self._requests: dict[str, RunningRequest] = {}
         self._placements: dict[str, Placement] = {}
-        self._recent = RecentIds()
+        self._recently_ended = RecentIds()
         self._parked: dict[str, str] = {}
 
     def __contains__(self, request_id: str) -> bool:
-        return request_id in self._requests or request_id in self._recent
+        return request_id in self._requests or request_id in self._recently_ended
 
     def placement_of(self, request_id: str) -> Placement | None:
         """Return the prediction on which a running request was granted."""
@@ -130,7 +130,7 @@
 
     def check(self, now_ms: float) -> None:
         """Check endpoint health and remove expired ids; call on each tick."""
-        self._recent.purge(now_ms)
+        self._recently_ended.purge(now_ms)
         for worker in self._tracked.fleet.workers.values():
             state = worker.endpoint_state
             if self._options.stragglers and state.running_requests:
@@ -206,7 +206,7 @@
     ) -> None:
         handle = request.handle
         self.end(handle.request_id, now_ms)
-        self._recent.add(handle.request_id, now_ms)
+        self._recently_ended.add(handle.request_id, now_ms)
         charged = handle.prefill_tokens + request.decode_tokens
         used = request.decoded_tokens
         if request.started:
