--- a/tests/scheduler/admission.feature
+++ b/tests/scheduler/admission.feature
@@ -67,7 +67,7 @@
       | q4 | 1    | 200    |
     Then the core's refusal of "q4" gives a retry time of 5000 to 20000 ms
 
-  Scenario: Nothing is granted when no endpoint is left
+  Scenario: A request is refused when the only endpoint is leaving
     When the core marks "only" as leaving
     And the core receives the requests
       | id | tier |
--- a/tests/scheduler/health.feature
+++ b/tests/scheduler/health.feature
@@ -66,7 +66,7 @@
     And the core's straggler stays slow for 1000 ms
     Then the core granted "low" on "fast"
 
-  Scenario: A straggler is probed with a request that has no other chance
+  Scenario: A straggler is first probed with a request that only a short answer saves
     Given the core has measured the usual speed of "fast"
     And the core has served 4 complete answers of 10 tokens to "modest"
     And the core has served 6 complete answers of 100 tokens to "modest"
--- a/tests/scheduler/lengths.feature
+++ b/tests/scheduler/lengths.feature
@@ -52,7 +52,7 @@
     Then the core granted "urgent" on "only"
     And the core has not decided "job"
 
-  Scenario: It lets requests of its own tier with more time go first
+  Scenario: A request with time for a short answer only lets its own tier go first
     Given the core has served 4 complete answers of 10 tokens to "modest"
     And the core has served 6 complete answers of 100 tokens to "modest"
     And the core's slots are all taken by tier 0 of "greedy"
@@ -66,7 +66,7 @@
     And one request of the core ends on "only"
     Then the core granted "fresh" on "only"
 
-  Scenario: Requests of its tier that exclude the endpoint do not block it
+  Scenario: Requests that exclude the free endpoint do not block an urgent request
     Given a core with the endpoints
       | endpoint | slots | prefill_tokens_per_s | decode_tokens_per_s |
       | only     | 1     | 8000                 | 50                  |
--- a/tests/steps/scheduler_steps.py
+++ b/tests/steps/scheduler_steps.py
@@ -47,7 +47,7 @@
 
 
 @when('the request "{request_id}" is withdrawn from the core')
-def step_forget(context, request_id):
+def step_withdrawn(context, request_id):
     context.core.forget(request_id)
 
 
@@ -167,21 +167,21 @@
 
 
 @given('the core has measured the usual speed of "{endpoint}"')
-def step_pace(context, endpoint):
+def step_measured_speed(context, endpoint):
     context.core.submit(make_handle({"id": "steady", "decode": 4000}))
     assert context.core.running["steady"] == endpoint
     context.core.event("steady", ttft_ms=20.0)
-    speed = {e.endpoint_id: e for e in context.core.endpoints}[endpoint]
+    declared = {e.endpoint_id: e for e in context.core.endpoints}[endpoint]
     for _ in range(40):
         context.core.tick(100)
-        tokens = round(speed.decode_tokens_per_s / 10)
+        tokens = round(declared.decode_tokens_per_s / 10)
         context.core.progress(endpoint, tokens, 100.0)
 
 
 @when('the core sees "{endpoint}" stream {factor:d} times slower for {ms:d} ms')
 def step_slower(context, endpoint, factor, ms):
-    speed = {e.endpoint_id: e for e in context.core.endpoints}[endpoint]
-    context.slow = (endpoint, factor * 1000.0 / speed.decode_tokens_per_s)
+    declared = {e.endpoint_id: e for e in context.core.endpoints}[endpoint]
+    context.slow = (endpoint, factor * 1000.0 / declared.decode_tokens_per_s)
     step_stay_slow(context, ms)
 
 
@@ -204,7 +204,7 @@
 
 
 @when("the core receives a prompt with {which} {blocks:d} blocks")
-def step_again(context, which, blocks):
+def step_prompt(context, which, blocks):
     first = 1 if which == "the same" else 1_000
     context.core.submit(_prompt("again", blocks, first))
 
@@ -278,14 +278,14 @@
 
 
 @then('the core\'s refusal of "{request_id}" gives a retry time')
-def step_come_back(context, request_id):
+def step_retry_time(context, request_id):
     assert context.core.result(request_id).retry_after_ms > 0
 
 
 @then(
     'the core\'s refusal of "{request_id}" gives a retry time of {low:d} to {high:d} ms'
 )
-def step_come_back_in(context, request_id, low, high):
+def step_retry_time_between(context, request_id, low, high):
     retry_ms = context.core.result(request_id).retry_after_ms
     assert low <= retry_ms <= high, retry_ms
 
