--- a/src/pomelolane/coordination/backoffs.py
+++ b/src/pomelolane/coordination/backoffs.py
@@ -51,7 +51,7 @@
         for endpoint_id in endpoint_ids:
             self._until_ms.pop(endpoint_id, None)
 
-    def excluded_from(self, handle: Handle) -> Handle:
+    def exclude_from(self, handle: Handle) -> Handle:
         """Return the handle with its service's backing-off endpoints excluded."""
         if not self._until_ms:
             return handle
--- a/src/pomelolane/coordination/chooser.py
+++ b/src/pomelolane/coordination/chooser.py
@@ -35,11 +35,11 @@
 
 _FALSE_ALARM_KEPT_MS = 30_000.0
 _MAX_SILENCE_FACTOR = 8
-"""Upper bound of the factor that each false alarm doubles.
+"""Upper bound of ``Chooser.silence_factor``, which each false alarm doubles.
 
-It lengthens the silence that makes a VM suspected, up to ``Timings.max_silence_ms``.
-Without it a scheduler that is slow now and then would keep losing and regaining the
-role.
+The factor lengthens the silence after which a VM is suspected, up to
+``Timings.max_silence_ms``. Without the factor a scheduler that is slow now and then
+would keep losing and regaining the role.
 """
 
 
--- a/src/pomelolane/coordination/client.py
+++ b/src/pomelolane/coordination/client.py
@@ -35,7 +35,7 @@
 
 _PAUSE_MS = 1000.0
 _GRANT_DISTRUST_MS = 1000.0
-"""Longer than two heartbeats take to deliver leaving marks missed in a pause."""
+"""Longer than two heartbeats, which deliver leaving marks missed in a pause."""
 
 CLIENT_MESSAGES = (SubmitAck, SyncAck, NotScheduler, Granted, Refused)
 """Kinds of messages that a gateway handles from schedulers."""
@@ -74,7 +74,7 @@
             return _not_run(Reason.NOT_READY, 1000, "the service is not configured")
         if handle.request_id in self._tickets:
             return _not_run(Reason.CLAIM_HELD, 0, "the request id is in use")
-        ticket = self._open(self._backoffs.excluded_from(handle))
+        ticket = self._open(self._backoffs.exclude_from(handle))
         link.add(ticket)
         try:
             return await ticket.answer
--- a/src/pomelolane/coordination/epochs.py
+++ b/src/pomelolane/coordination/epochs.py
@@ -10,7 +10,7 @@
 """Sent as the epoch of a sync that only checks whether a VM replies."""
 
 _COUNTER_BITS = 20
-_START_MASK = (1 << 42) - 1
+_INCARNATION_MASK = (1 << 42) - 1
 
 
 class Epochs:
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, incarnation: int) -> None:
-        self._last = (incarnation & _START_MASK) << _COUNTER_BITS
+        self._last = (incarnation & _INCARNATION_MASK) << _COUNTER_BITS
 
     def next(self) -> int:
         """Return an epoch higher than all earlier ones."""
--- a/src/pomelolane/coordination/limit_account.py
+++ b/src/pomelolane/coordination/limit_account.py
@@ -29,7 +29,7 @@
         """Assume that other schedulers have used up all limits.
 
         Args:
-            spare_part: Part of the allowance beyond the limits that may be used still.
+            spare_part: Part of the allowance beyond the limits that may still be used.
         """
         self._book.assume_used(spare_part, self._clock.now_ms())
 
--- a/src/pomelolane/coordination/link.py
+++ b/src/pomelolane/coordination/link.py
@@ -83,7 +83,7 @@
         self.submit_again(ticket)
 
     def submit_again(self, ticket: Ticket) -> None:
-        """Submit a request in the current iteration of the event loop."""
+        """Queue a request for the next flush, which runs soon on the event loop."""
         self._unsent[ticket.request_id] = ticket
         self._defer_flush()
 
@@ -157,11 +157,11 @@
         for start in range(0, len(running), _HANDLES_PER_SUBMIT):
             chunk = running[start : start + _HANDLES_PER_SUBMIT]
             registered = tuple(ticket.running_at(now_ms) for ticket in chunk)
-            self._send_question(Submit(self.epoch, (), registered))
+            self._send_expecting_reply(Submit(self.epoch, (), registered))
         for start in range(0, len(waiting), _HANDLES_PER_SUBMIT):
             chunk = waiting[start : start + _HANDLES_PER_SUBMIT]
             handles = tuple(ticket.handle_at(now_ms) for ticket in chunk)
-            self._send_question(Submit(self.epoch, handles))
+            self._send_expecting_reply(Submit(self.epoch, handles))
 
     def sync(self) -> None:
         """Send the ids of the held requests; the reply lists those the scheduler lacks.
@@ -172,15 +172,17 @@
         is_short = len(self.waiting) + len(self.running) <= _MAX_SHORT_LIST
         is_whole = is_short or self._sync_count % self._timings.full_sync_every == 0
         if self._sync_count == 0:
-            # A VM that was asked before it took the role has ignored the limits.
+            # A VM that got the limits before it took the role has ignored them.
             self._send_limits()
         waiting = tuple(self.waiting) if is_whole else ()
         running = tuple(self.running) if is_whole else ()
         self._sync_count += 1
         self._last_sync_ms = self._context.clock.now_ms()
-        self._send_question(Sync(self.epoch, self.service, is_whole, waiting, running))
+        self._send_expecting_reply(
+            Sync(self.epoch, self.service, is_whole, waiting, running)
+        )
 
-    def _send_question(self, message: Message) -> None:
+    def _send_expecting_reply(self, message: Message) -> None:
         now_ms = self._context.clock.now_ms()
         if self._awaiting_reply_since_ms is None:
             self._awaiting_reply_since_ms = now_ms
@@ -314,8 +316,8 @@
         if self._probe_target[0] != chosen:
             self._probe_target = (chosen, self._context.epochs.next())
         self._last_probe_ms = self._context.clock.now_ms()
-        question = Sync(self._probe_target[1], self.service, whole=False)
-        self._context.send(chosen, self.service, question)
+        probe = Sync(self._probe_target[1], self.service, whole=False)
+        self._context.send(chosen, self.service, probe)
 
     # --- time -------------------------------------------------------------
 
@@ -347,7 +349,8 @@
         since_ms = self._silent_since_ms
         if since_ms is None or not self.waiting:
             return False
-        # After a pause of this VM the elapsed time says nothing about the scheduler.
+        # After a pause of this VM the elapsed time says nothing about the scheduler,
+        # so several messages must be unanswered too.
         if self._unanswered < _MIN_UNANSWERED_BEFORE_FALLBACK:
             return False
         return now_ms - since_ms >= self._tolerated_silence_ms(
--- a/src/pomelolane/coordination/request_table.py
+++ b/src/pomelolane/coordination/request_table.py
@@ -27,7 +27,7 @@
         endpoint_id: Endpoint of the granted slot, empty while the request waits.
         expected_ttft_ms: Time to first token predicted with the grant.
         granted_ms: Time at which the slot was granted or registered as running.
-        in_core: Whether the core has been told of the request.
+        in_core: Whether the core holds the request.
         missed_syncs: Consecutive full syncs in which the gateway did not list it.
         free_at_ms: Time at which the slot of a lost gateway's request is freed, None
             while the gateway is present.
@@ -72,7 +72,8 @@
     Attributes:
         epoch: Highest epoch received from it.
         last_message_ms: Time of its last message.
-        registered: Whether it has registered all its requests since grants were held.
+        registered: Whether it has registered all its requests since the queue last
+            began to hold grants.
         entries: Its requests by id.
     """
 
--- a/src/pomelolane/coordination/role.py
+++ b/src/pomelolane/coordination/role.py
@@ -59,8 +59,8 @@
         timings: Timeouts and periods.
 
     Attributes:
-        on_misdirected: Called with a service for which a gateway took this VM as its
-            scheduler by mistake.
+        on_misdirected: Called with a service when a gateway mistakes this VM for its
+            scheduler.
         on_taken: Called with a service when the role is taken.
         on_left: Called with a service when the role is given up.
     """
@@ -133,8 +133,8 @@
     def _slot_owners_for(self, followers: frozenset[str]) -> tuple[str, ...]:
         """Return the VMs that share a queue's slots, this one first.
 
-        A VM that no other VM follows, though it sees some, may be cut off from them
-        while they follow a scheduler of their own.
+        If no other VM follows this one, the others may be cut off from it and follow
+        another scheduler, so all gateways in the view share the slots.
         """
         if followers <= {self._vm_id}:
             return self._chooser.gateways_own_first()
@@ -212,7 +212,7 @@
         if known:
             self.on_misdirected(service)
 
-    # --- taking and leaving -----------------------------------------------
+    # --- acquiring and releasing roles ------------------------------------
 
     def _acquire_role(self, service: str) -> None:
         log_event(SCHEDULER_ROLE, service=service, held=True)
@@ -261,7 +261,7 @@
         self._lingering_since_ms.pop(service, None)
         self._service_queues.close(service)
 
-    # --- the view ---------------------------------------------------------
+    # --- view changes -----------------------------------------------------
 
     def _scoped_tree(self) -> Tree:
         return scoped_tree(self._tree, self._data_centres)
--- a/src/pomelolane/coordination/service_queue.py
+++ b/src/pomelolane/coordination/service_queue.py
@@ -1,7 +1,7 @@
 """The scheduler's queue of one service: request table, core and messages.
 
-A queue serves all gateways if its VM holds the scheduler role. A gateway that hears
-no scheduler uses a local one of its own.
+A queue serves all gateways if its VM holds the scheduler role. A gateway that reaches
+no scheduler uses a local queue of its own.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
         send: Sends a message to a gateway.
         clock: Source of the current time.
         timings: Timeouts and periods.
-        share_of: Returns the share of each endpoint's slots that may be
-            granted to a set of followers.
+        slot_share_of: Returns the share of each endpoint's slots that may be granted
+            to a set of followers.
         rate_share: Returns the share of organisations' rate limits that this queue
             may use.
         slot_owners_for: Returns the VMs that share each endpoint's slots for a set of
-            followers, this VM first. A single VM owns all slots.
+            followers, this VM first. With fewer than two VMs they are not divided.
 
     Attributes:
         account: Usage of organisations' limits counted by this queue.
@@ -88,7 +88,7 @@
         self._clock = clock
         self._timings = timings
         self._slot_share_of = slot_share_of
-        self._share = 1.0
+        self._slot_share = 1.0
         self._leaving: set[str] = set()
         self._limited_ids: frozenset[str] = frozenset()
         self._tree: Tree | None = None
@@ -125,7 +125,7 @@
     def mark_leaving(self, endpoint_id: str) -> None:
         """Stop granting an endpoint, whatever the settings tree declares."""
         self._leaving.add(endpoint_id)
-        self._mark_leaving(endpoint_id)
+        self._mark_leaving_in_core(endpoint_id)
 
     def mark_returned(self, endpoint_id: str) -> None:
         """Remove the leaving mark of an endpoint; the settings tree decides again."""
@@ -149,7 +149,7 @@
             follower.registered = False
 
     def account_for_pause(self, paused_ms: float) -> None:
-        """Move the deadlines of waiting requests forward by a pause of this VM.
+        """Make the deadlines of waiting requests earlier by a pause of this VM.
 
         The queue's clock stood still during the pause, so the deadlines seem further
         away than they are. Waiting requests are submitted to the core again.
@@ -239,10 +239,10 @@
         if self._follower(gateway, message.epoch) is None:
             return
         for running in message.running:
-            self._take_running(gateway, message.epoch, running)
+            self._register_running(gateway, message.epoch, running)
         for handle in sorted(message.waiting, key=_urgency):
-            self._take_waiting(gateway, message.epoch, handle)
-        # A grant or refusal that was sent already acknowledges the others.
+            self._register_waiting(gateway, message.epoch, handle)
+        # Requests granted or refused at once need no further acknowledgement.
         queued = [h.request_id for h in message.waiting if self._is_waiting(h)]
         queued += [running.handle.request_id for running in message.running]
         if queued:
@@ -336,7 +336,7 @@
     # --- request table ----------------------------------------------------
 
     def _follower(self, gateway: str, epoch: int) -> Follower | None:
-        """Return the sender's record, or None if its message is outdated."""
+        """Return the sender's record, added if new, or None for an outdated message."""
         now_ms = self._clock.now_ms()
         follower = self.request_table.followers.get(gateway)
         if follower is not None and incarnation_part(epoch) > incarnation_part(
@@ -354,7 +354,7 @@
         follower.last_message_ms = now_ms
         return follower
 
-    def _take_waiting(self, gateway: str, epoch: int, handle: Handle) -> None:
+    def _register_waiting(self, gateway: str, epoch: int, handle: Handle) -> None:
         entry = self.request_table.get(handle.request_id)
         if entry is not None and (
             not entry.is_same_attempt(gateway, handle) or entry.free_at_ms is not None
@@ -370,7 +370,9 @@
         if entry.endpoint_id:
             self._send_granted(entry)
 
-    def _take_running(self, gateway: str, epoch: int, running: RunningHandle) -> None:
+    def _register_running(
+        self, gateway: str, epoch: int, running: RunningHandle
+    ) -> None:
         entry = self.request_table.get(running.handle.request_id)
         if entry is not None and entry.endpoint_id == running.endpoint_id:
             # Freeing the slot even for a moment would let another request take it.
@@ -433,13 +435,13 @@
         latest_ms = now_ms + self._timings.orphan_limit_ms
         return min(max(end_ms, earliest_ms), latest_ms)
 
-    def _mark_leaving(self, endpoint_id: str) -> None:
+    def _mark_leaving_in_core(self, endpoint_id: str) -> None:
         self._apply_decisions(self.core.mark_leaving(endpoint_id, self._clock.now_ms()))
 
     def _update_share(self) -> None:
         share = self._slot_share_of(self.followers())
-        if share != self._share:
-            self._share = share
+        if share != self._slot_share:
+            self._slot_share = share
             self._apply_decisions(self.core.limit_slots(share, self._clock.now_ms()))
         if (
             self._tree is not None
--- a/src/pomelolane/coordination/stragglers.py
+++ b/src/pomelolane/coordination/stragglers.py
@@ -42,18 +42,18 @@
             if callable(read):
                 self._compare(read())
 
-    def _compare(self, figures: dict) -> None:
-        for endpoint_id, figure in figures.items():
+    def _compare(self, statuses: dict) -> None:
+        for endpoint_id, status in statuses.items():
             was = endpoint_id in self._straggling
-            if figure.straggling and not was:
+            if status.straggling and not was:
                 self._straggling.add(endpoint_id)
                 log_event(
                     ENDPOINT_STRAGGLING,
                     endpoint=endpoint_id,
-                    slowdown=figure.slowdown,
+                    slowdown=status.slowdown,
                 )
-            elif was and not figure.straggling:
+            elif was and not status.straggling:
                 self._straggling.discard(endpoint_id)
                 log_event(
-                    ENDPOINT_RECOVERED, endpoint=endpoint_id, slowdown=figure.slowdown
+                    ENDPOINT_RECOVERED, endpoint=endpoint_id, slowdown=status.slowdown
                 )
--- a/src/pomelolane/coordination/timings.py
+++ b/src/pomelolane/coordination/timings.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 LOCAL = ""
-"""Stands for a scheduler's VM id if the gateway uses its local queues."""
+"""Used instead of a scheduler's VM id if the gateway uses its local queues."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,8 +24,9 @@
         reply_ms: Reply timeout, after which a message is sent again.
         reply_attempts: Consecutive reply timeouts after which a VM is suspected.
         max_silence_ms: Longest silence before a VM is suspected, even after false
-            alarms. If gateways differed by more than a new scheduler holds lower tiers
-            (``settle_lower_ms``), lower tiers could overtake higher ones.
+            alarms. If gateways switched schedulers further apart in time than a new
+            scheduler holds lower tiers (``settle_lower_ms``), lower tiers could
+            overtake higher ones.
         suspect_ms: How long a suspected VM is skipped, unless it sends a message.
         retry_ms: Delay after a VM replied that it is not the scheduler.
         waiting_sync_ms: Sync period while requests wait.
--- a/tests/coordination/chooser.feature
+++ b/tests/coordination/chooser.feature
@@ -1,7 +1,7 @@
 Feature: A VM's share of the visible VMs
 
   # Guards against exceeding limits in a data centre that is cut off: a VM that had scheduled
-  # nothing counted the VMs only after the cut, and took its part for the whole.
+  # nothing first counted the VMs after the cut, and took the remaining ones for all VMs.
   Scenario: The visible share counts VMs from before a network partition
     Given a VM that sees 6 VMs for 60 s without calling its chooser
     When it sees 2 of them
