--- a/tests/coordination/limits.feature
+++ b/tests/coordination/limits.feature
@@ -9,10 +9,10 @@
   Scenario Outline: An organisation has its limit once, however many services it uses
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one requests several times its limit from each service
+    When an organisation requests several times its limit from each service
     Then no window admits more of its tokens than limit and spare
     And it used nearly its whole limit
-    And one far below its limit gets no refusal
+    And an organisation far below its limit gets no refusal
 
     Examples:
       | count |
@@ -25,13 +25,13 @@
   # 9,000 were admitted in one window.
   Scenario: A limit that is lowered and raised is never used twice
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
-    When one requests several times its limit while it is halved and restored
+    When an organisation requests several times its limit while it is halved and restored
     Then no window admits more of its tokens than limit and spare
 
   Scenario Outline: The usage counted by a killed scheduler is kept
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one requests several times its limit from each service while each scheduler is killed
+    When an organisation requests several times its limit from each service while each scheduler is killed
     Then no window admits more of its tokens than limit and spare
 
     Examples:
@@ -59,7 +59,7 @@
   Scenario Outline: The usage counted by a leaving scheduler is handed over
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one requests several times its limit from each service while schedulers hand over
+    When an organisation requests several times its limit from each service while schedulers hand over
     Then no window admits more of its tokens than limit and spare
 
     Examples:
@@ -74,7 +74,7 @@
   Scenario Outline: Usage admitted by gateways in local fallback counts
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When one requests several times its limit, and its gateways fall back <times> times
+    When an organisation requests several times its limit, and its gateways fall back <times> times
     Then no window admits more of its tokens than limit and spare
 
     Examples:
@@ -88,7 +88,7 @@
   Scenario Outline: New schedulers without a record share half of the spare allowance
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
     And <count> services
-    When the store is down and one asks each service's new scheduler for 1000 at once
+    When the store is down and an organisation asks each service's new scheduler for 1000 at once
     Then 600 of its tokens are admitted at most
 
     Examples:
@@ -103,13 +103,13 @@
   # instead of its part of 600.
   Scenario: A scheduler without the record keeps the assumed usage despite partial reports
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
-    When new schedulers are told of 100 tokens that one other admitted
+    When new schedulers are told of 100 tokens that another scheduler admitted
     Then 600 of its tokens are admitted at most
     And its refusals have the reason limit_guessed
 
   Scenario: A scheduler without the record accepts the report of its predecessor
     Given a region whose organisations may use 6000 tokens in 8 s, plus 1200 spare
-    When new schedulers are told of 100 tokens that the one before admitted
+    When new schedulers are told of 100 tokens that the previous scheduler admitted
     Then 4000 of its tokens are admitted at least
 
   # Guards against refusing organisations far below their limits for seconds when a scheduler
@@ -122,8 +122,8 @@
     And <count> services
     When all VMs restart, and the store goes down as schedulers are <fate> in turn
     Then no window admits more of its tokens than limit and spare
-    And one that asks for a tenth of its limit gets no refusal
-    And one that asks for half of its limit gets no refusal
+    And an organisation that asks for a tenth of its limit gets no refusal
+    And an organisation that asks for half of its limit gets no refusal
 
     Examples:
       | count | fate        |
--- a/tests/steps/coordination_limits_steps.py
+++ b/tests/steps/coordination_limits_steps.py
@@ -52,13 +52,15 @@
     return counts
 
 
-@when("one requests several times its limit from each service")
+@when("an organisation requests several times its limit from each service")
 def step_ask(context):
     world = _start(context)
     context.run(world.send_requests(2 * WINDOW_MS, TOKENS, _counts(context)))
 
 
-@when("one requests several times its limit while it is halved and restored")
+@when(
+    "an organisation requests several times its limit while it is halved and restored"
+)
 def step_halved(context):
     world = _start(context)
     for turn in range(2 * ROUNDS):
@@ -68,7 +70,7 @@
 
 
 @when(
-    "one requests several times its limit from each service "
+    "an organisation requests several times its limit from each service "
     "while each scheduler is killed"
 )
 def step_killed(context):
@@ -94,7 +96,8 @@
 
 
 @when(
-    "one requests several times its limit from each service while schedulers hand over"
+    "an organisation requests several times its limit from each service "
+    "while schedulers hand over"
 )
 def step_handed_over(context):
     world = _start(context)
@@ -165,7 +168,8 @@
 
 
 @when(
-    "one requests several times its limit, and its gateways fall back {times:d} times"
+    "an organisation requests several times its limit, "
+    "and its gateways fall back {times:d} times"
 )
 def step_alone(context, times):
     # Few slots, so admitted requests still wait when their gateway falls back.
@@ -180,7 +184,8 @@
 
 
 @when(
-    "the store is down and one asks each service's new scheduler for {tokens:d} at once"
+    "the store is down and an organisation asks each service's new scheduler "
+    "for {tokens:d} at once"
 )
 def step_new_schedulers(context, tokens):
     world = context.world = LimitedWorld(NAMES, context.services)
@@ -197,7 +202,7 @@
     world.store_is_down = True
     context.run(world.configure())
     context.run(world.run(ROUND_MS))
-    guess_part = 0.0 if who == "the one before" else 1.0
+    guess_part = 0.0 if who == "the previous scheduler" else 1.0
     context.run(
         world.deliver_from_lost_vm(
             context.services[0], GREEDY, tokens, guess_part=guess_part
@@ -239,7 +244,7 @@
     assert most >= 0.9 * LIMIT_TOKENS, most
 
 
-@then("one that asks for {part} of its limit gets no refusal")
+@then("an organisation that asks for {part} of its limit gets no refusal")
 def step_refused_nothing(context, part):
     name = {"a tenth": MODEST, "half": HALF}[part]
     count_results = context.world.count_results(
@@ -248,7 +253,7 @@
     assert count_results["Grant"] > 0 and not count_results["Refusal"], count_results
 
 
-@then("one far below its limit gets no refusal")
+@then("an organisation far below its limit gets no refusal")
 def step_within(context):
     count_results = context.world.count_results(MODEST)
     assert count_results["Grant"] > 0 and not count_results["Refusal"], count_results
--- a/tests/steps/coordination_service_queue_steps.py
+++ b/tests/steps/coordination_service_queue_steps.py
@@ -1,4 +1,4 @@
-"""Steps of coordination/service_queue.feature."""
+"""Steps of tests/coordination/service_queue.feature."""
 
 from dataclasses import replace
 
