--- a/src/pomelolane/forwarding/failures.py
+++ b/src/pomelolane/forwarding/failures.py
@@ -63,7 +63,7 @@
     """Record an answer that ended or was abandoned before it was complete."""
     if stall is None or not stall.has_abandoned:
         return broken_by_endpoint(state, watch, str(stream.error))
-    retry = broken_by_endpoint(state, watch, "the stream stalled")
+    retry = broken_by_endpoint(state, watch, "the stream fell silent")
     retry.is_charged = True
     return retry
 
--- a/src/pomelolane/forwarding/first_byte.py
+++ b/src/pomelolane/forwarding/first_byte.py
@@ -57,7 +57,7 @@
         if timeout_ms is not None:
             await asyncio.wait({waiting}, timeout=timeout_ms / 1000)
             if not waiting.done() and may_retry():
-                raise FirstByteTimeoutError(f"no answer within {timeout_ms:.0f} ms")
+                raise FirstByteTimeoutError(f"nothing within {timeout_ms:.0f} ms")
         return await waiting
     finally:
         if not waiting.done():
--- a/src/pomelolane/forwarding/sender.py
+++ b/src/pomelolane/forwarding/sender.py
@@ -82,7 +82,7 @@
         if verdict in (Verdict.FOREIGN, Verdict.INVALID):
             await stream.aclose()
             connection.discard()
-            raise EndpointBrokenError(f"the head of the answer is {verdict.value}")
+            raise EndpointBrokenError(f"the answer's head is {verdict.value}")
         notice = self._dialect.read_notice(stream.status, stream.headers)
         return SendResult(stream, verdict, notice)
 
@@ -91,7 +91,7 @@
     lines = [call.method.encode("ascii") + b" " + call.target + b" HTTP/1.1"]
     for name, value in headers:
         if not _FORBIDDEN_HEADER_BYTES.isdisjoint(value):
-            raise EndpointRefusedError("a header contains a control byte")
+            raise EndpointRefusedError("a header holds a control byte")
         lines.append(name + b": " + value)
     if call.body or call.method in _BODY_METHODS:
         lines.append(b"content-length: %d" % len(call.body))
