--- a/src/pomelolane/forwarding/configuration.py
+++ b/src/pomelolane/forwarding/configuration.py
@@ -14,7 +14,9 @@
 
 
 MAX_RANKS = 16
-"""Number of distinct ranks of organisations, and of routes within each of them."""
+"""Number of distinct ranks of organisations, and of routes within each of those ranks.
+
+Higher ranks count as the last one."""
 
 
 class RouteKind(StrEnum):
@@ -172,7 +174,7 @@
         await self._known.wait()
 
     def on_change(self, callback: Callable[[Configuration], None]) -> None:
-        """Call ``follower(configuration)`` after each change."""
+        """Call ``callback(configuration)`` after each change."""
         self._callbacks.append(callback)
 
     def adopt(self, configuration: Configuration) -> bool:
--- a/src/pomelolane/forwarding/failures.py
+++ b/src/pomelolane/forwarding/failures.py
@@ -39,7 +39,7 @@
 def refused_by_endpoint(
     state: CallState, watch: StreamWatch, detail: str
 ) -> RetrySignal:
-    """Record a send that the endpoint certainly has not begun to run."""
+    """Record a send that the endpoint has certainly not begun; return the signal."""
     state.excluded += (state.endpoint_id,)
     watch.finish(refused=True, outcome=Outcome.NOT_RUN)
     return _failed(state, Reason.ENDPOINT_REFUSED, detail)
@@ -48,7 +48,7 @@
 def broken_by_endpoint(
     state: CallState, watch: StreamWatch, detail: str
 ) -> RetrySignal:
-    """Record a failed send that the endpoint may have begun to run."""
+    """Record a failed send that the endpoint may have begun; return the signal."""
     state.excluded += (state.endpoint_id,)
     watch.finish(outcome=Outcome.FAILED)
     return _failed(state, Reason.ENDPOINT_BROKEN, detail)
@@ -60,7 +60,10 @@
     stream: AnswerStream,
     stall: StallWatch | None,
 ) -> RetrySignal:
-    """Record an answer that ended or was abandoned before it was complete."""
+    """Record an answer that ended or was abandoned early; return the signal.
+
+    A stream that the stall watch abandoned has already been charged to the budget.
+    """
     if stall is None or not stall.has_abandoned:
         return broken_by_endpoint(state, watch, str(stream.error))
     retry = broken_by_endpoint(state, watch, "the stream fell silent")
--- a/src/pomelolane/forwarding/first_byte.py
+++ b/src/pomelolane/forwarding/first_byte.py
@@ -17,8 +17,8 @@
 """Timeout as a multiple of the expected time to the first byte."""
 
 MIN_OBJECTIVE_SHARE = 0.4
-"""Minimum timeout as a part of the objective; the rest must be enough for another
-endpoint to answer."""
+"""Minimum timeout as a share of the objective. It is below 1 because another endpoint
+must be able to answer in the time left."""
 
 
 class FirstByteTimeoutError(EndpointBrokenError):
@@ -38,25 +38,25 @@
 async def wait_for_first_byte(
     sending: Coroutine[Any, Any, SendResult],
     timeout_ms: float | None,
-    may_retry: Callable[[], bool],
+    reserve_retry: Callable[[], bool],
 ) -> SendResult:
     """Send a request and wait for the first byte of the answer.
 
     Args:
         sending: Sends the request and returns with the head of the answer.
-        timeout_ms: Time after which ``may_retry`` is called, None for no timeout.
-        may_retry: Returns whether to try another endpoint, and charges the retry
-            budget.
+        timeout_ms: Time after which ``reserve_retry`` is called, None for no timeout.
+        reserve_retry: Charges the retry budget and returns True if another endpoint
+            may be tried.
 
     Raises:
-        FirstByteTimeoutError: No byte came in time, and ``may_retry`` returned True.
+        FirstByteTimeoutError: No byte came in time, and a retry was reserved.
         EndpointBrokenError: The connection broke.
     """
     waiting = asyncio.ensure_future(_receive_first_byte(sending))
     try:
         if timeout_ms is not None:
             await asyncio.wait({waiting}, timeout=timeout_ms / 1000)
-            if not waiting.done() and may_retry():
+            if not waiting.done() and reserve_retry():
                 raise FirstByteTimeoutError(f"nothing within {timeout_ms:.0f} ms")
         return await waiting
     finally:
--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -105,6 +105,11 @@
         crashes: Checks whether endpoints with broken connections have crashed.
         clock: Source of the current time.
         data_centre: Data centre of this VM.
+
+    Attributes:
+        open_calls: Requests that are not finished yet, by local id.
+        timeouts: Time limits of the open requests.
+        draining: Whether callers' connections are closed after the answer.
     """
 
     def __init__(
@@ -136,7 +141,7 @@
         self.timeouts = Timeouts(clock)
         self.draining = False
         self._stop_at_ms = math.inf
-        self._accepts_short_requests = True
+        self._accepts_until_stop = True
         self._request_ended = asyncio.Event()
 
     def set_stop_time(self, at_ms: float) -> None:
@@ -152,7 +157,7 @@
         open_at_start = set(self.open_calls)
         while open_at_start & self.open_calls.keys():
             await self._wait_for_next_end()
-        self._accepts_short_requests = False
+        self._accepts_until_stop = False
         while self.open_calls:
             await self._wait_for_next_end()
 
@@ -165,7 +170,7 @@
         if math.isinf(self._stop_at_ms):
             return True
         return (
-            self._accepts_short_requests
+            self._accepts_until_stop
             and self._clock.now_ms() + limit_ms < self._stop_at_ms
         )
 
--- a/src/pomelolane/forwarding/handles.py
+++ b/src/pomelolane/forwarding/handles.py
@@ -10,8 +10,8 @@
     from pomelolane.forwarding.call import CallState
 
 RESUME_MS = 150
-"""Time within which a broken stream should resume: less than the objective of any new
-request that the users specified, so that it is due first within its rank."""
+"""Time within which a broken stream should resume. It is less than any objective that
+the users specified, so that the stream is due before new requests of its rank."""
 
 
 def handle_from_state(state: CallState, data_centre: str, now_ms: float) -> Handle:
--- a/src/pomelolane/forwarding/intake.py
+++ b/src/pomelolane/forwarding/intake.py
@@ -20,7 +20,7 @@
     from pomelolane.ports.forwarding import CallDescription, Dialect
 
 DEFAULT_DEADLINE_MS = 30_000
-"""Deadline of requests without a deadline header on a route without a timeout."""
+"""Time limit of requests without a deadline header; a route may have a shorter one."""
 
 START_TIMEOUT_MS = 800
 """Longest time that a request waits for a starting VM; callers disconnect from a VM
@@ -63,7 +63,7 @@
         """Check a request and read its body.
 
         Raises:
-            BadRequestError: The request cannot be served; it has the status to answer.
+            BadRequestError: The request cannot be served; holds the HTTP status.
         """
         accepted_ms = self._clock.now_ms()
         if not self._opened.is_set():
--- a/src/pomelolane/forwarding/refusals.py
+++ b/src/pomelolane/forwarding/refusals.py
@@ -19,7 +19,7 @@
     from pomelolane.forwarding.call import CallState
     from pomelolane.http.exchange import Exchange
 
-_LIMITS = (
+_LIMIT_REASONS = (
     Reason.REQUEST_LIMIT,
     Reason.TOKEN_LIMIT,
     Reason.LIMIT_GUESSED,
@@ -57,7 +57,7 @@
     """Return the HTTP status of a refusal."""
     if refusal.outcome is not Outcome.NOT_RUN:
         return 504 if refusal.reason is Reason.DEADLINE_PASSED else 502
-    if refusal.reason in _LIMITS:
+    if refusal.reason in _LIMIT_REASONS:
         return 429
     if refusal.reason in (Reason.ENDPOINT_BROKEN, Reason.ENDPOINT_ERROR):
         return 503
@@ -67,7 +67,14 @@
 async def answer_refusal(
     exchange: Exchange, refusal: Refusal, request_id: str, *, closes: bool
 ) -> int:
-    """Send a refusal to the caller and return its HTTP status."""
+    """Send a refusal to the caller and return its HTTP status.
+
+    Args:
+        exchange: The caller's exchange.
+        refusal: The refusal.
+        request_id: Id of the request, empty if it was not accepted.
+        closes: Whether to close the caller's connection after the answer.
+    """
     status = status_of(refusal)
     problem = problem_from_refusal(refusal, request_id)
     headers = [(b"content-type", PROBLEM_TYPE)]
--- a/src/pomelolane/forwarding/sender.py
+++ b/src/pomelolane/forwarding/sender.py
@@ -29,7 +29,7 @@
 
     Attributes:
         stream: The answer.
-        verdict: Classification of the head.
+        verdict: Whether the endpoint ran the request, according to the head.
         notice: What the endpoint reports about itself in the headers.
     """
 
@@ -51,7 +51,9 @@
         self._dialect = dialect
 
     async def connect(self, endpoint: Endpoint) -> HttpConnection:
-        """Return a connection, on which to send before awaiting anything else.
+        """Return a connection to an endpoint.
+
+        The caller must send on it before awaiting anything else.
 
         Raises:
             EndpointRefusedError: No connection could be made.
@@ -69,10 +71,11 @@
 
         Raises:
             EndpointRefusedError: The connection was closed before the write.
-            EndpointBrokenError: It failed after the write.
+            EndpointBrokenError: The connection failed after the write, or the head is
+                not a valid answer to this request.
         """
         headers = self._dialect.request_headers(call.headers, endpoint, dispatch)
-        parts = [_head(call, headers)]
+        parts = [_encode_head(call, headers)]
         if call.body:
             parts.append(call.body)
         stream = await connection.exchange(call.method, parts)
@@ -87,7 +90,7 @@
         return SendResult(stream, verdict, notice)
 
 
-def _head(call: ForwardCall, headers: Sequence[Header]) -> bytes:
+def _encode_head(call: ForwardCall, headers: Sequence[Header]) -> bytes:
     lines = [call.method.encode("ascii") + b" " + call.target + b" HTTP/1.1"]
     for name, value in headers:
         if not _FORBIDDEN_HEADER_BYTES.isdisjoint(value):
