--- a/src/pomelolane/forwarding/endpoints.py
+++ b/src/pomelolane/forwarding/endpoints.py
@@ -90,6 +90,10 @@
     def _apply_leaving_marks(
         self, endpoints: dict[str, Endpoint]
     ) -> dict[str, Endpoint]:
+        """Return the endpoints with marked ones leaving; drop expired marks.
+
+        The marks of listed endpoints are renewed.
+        """
         now_ms = self._clock.now_ms()
         marked = {
             endpoint_id: replace(endpoint, leaving=True)
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -35,7 +35,7 @@
 """Longest time that a starting VM waits for the records. The store answers in a few
 milliseconds, and callers are waiting."""
 
-UNRECORDED_SHARE = 0.25
+MAX_UNRECORDED_SHARE = 0.25
 """Part of a limit's permitted overshoot that may stay unrecorded, and so unknown to the
 next scheduler. The rest is for usage admitted until a record is written, and for
 gateways without a scheduler."""
@@ -83,7 +83,7 @@
         self._record = record
         self._usage_exchange = usage_exchange
         self._saved_nonempty: dict[str, bool] = {}
-        self._overdue: set[str] = set()
+        self._unsaved: set[str] = set()
         self._scheduled_loads: set[str] = set()
         self._read_retry_ticks: dict[str, int] = {}
         self._loading: set[asyncio.Task[None]] = set()
@@ -127,20 +127,21 @@
                 continue
             self._saved_nonempty[service] = bool(uses)
             desk.account.mark_recorded()
-            self._overdue.add(service)
+            self._unsaved.add(service)
             try:
                 await self._record.save(service, uses)
             except PlatformError as error:
                 log_event(events.LEDGER_FAILED, service=service, error=error)
             else:
-                self._overdue.discard(service)
+                self._unsaved.discard(service)
 
     def _is_due(self, service: str, desk: Desk) -> bool:
-        if service in self._overdue:
+        if service in self._unsaved:
             return True
-        return desk.account.unrecorded_share() >= UNRECORDED_SHARE
+        return desk.account.unrecorded_share() >= MAX_UNRECORDED_SHARE
 
     def _on_role_taken(self, service: str) -> None:
+        """Count reported usage, and load the records unless a load is scheduled."""
         self._count_reported(service)
         if service in self._scheduled_loads:
             return
--- a/src/pomelolane/forwarding/node.py
+++ b/src/pomelolane/forwarding/node.py
@@ -43,13 +43,16 @@
     from pomelolane.rollouts import RolloutRecord
 
 POLICY = "objective"
+"""Name of the scheduling policy of forwarding VMs."""
+
 HEAD_TIMEOUT_MS = 3_000
 CONNECT_TIMEOUT_MS = 400
 """Data centres are about a millisecond apart; an endpoint that takes longer to accept a
 connection is overloaded or gone."""
 
 MAX_IDLE_MS = 4_000
-"""Endpoints close idle connections after about 5 s or more."""
+"""Idle time after which a connection is not used again; endpoints close idle
+connections after about 5 s or more."""
 
 BALANCER_REMOVAL_MS = 2_500
 """The load balancer probes once a second and removes a VM after two failed probes."""
@@ -230,8 +233,8 @@
     def join_scheduling(self) -> None:
         """Take part in scheduling, after this VM has found the other VMs.
 
-        A VM that sees no others takes all scheduler roles. If the VMs of a fleet that
-        starts did so, each would admit requests up to the limits.
+        A VM that sees no others takes all scheduler roles. If the VMs of a starting
+        fleet all did so, each of them would admit requests up to the whole limits.
         """
         self._has_joined_scheduling = True
         self._configure()
@@ -263,7 +266,7 @@
         }
 
     async def drain(self) -> None:
-        """Hand over the roles until the load balancer sends no more callers.
+        """Hand over the scheduler roles, and wait until no more callers are sent here.
 
         Requests that arrive meanwhile are served, and their connections are closed
         after the answer.
--- a/src/pomelolane/forwarding/usage_exchange.py
+++ b/src/pomelolane/forwarding/usage_exchange.py
@@ -33,8 +33,8 @@
 class UsageExchange:
     """Sends this VM's usage to other VMs and keeps what they sent.
 
-    Usage is kept by source: the service and the account of the scheduler that
-    admitted it.
+    Usage is kept by source, which is a service and the account of the scheduler that
+    admitted it. Each use is kept with the time at which it was received.
 
     Args:
         vm_id: Id of this VM.
@@ -65,7 +65,7 @@
         self._clock = clock
         self._usage_by_source: dict[tuple[str, str], list[tuple[float, Use]]] = {}
         self._guess_reports: dict[str, tuple[float, float]] = {}
-        self._has_read = False
+        self._has_read_record = False
         self.on_role_released: Callable[[str], None] = _ignore_release
         self.on_usage: Callable[[tuple[str, str], list[Use], bool], None] = (
             _ignore_usage
@@ -87,15 +87,15 @@
         """Send the final usage to all VMs when this VM gives up a scheduler role.
 
         The VMs that may take over the role also get the usage of all other sources
-        known here. The other VMs don't, so if there is any, their report counts as
-        incomplete and carries a `guess_part` of 1.
+        known here. The remaining VMs do not get it. If there are other sources, the
+        report to them is marked as incomplete by a `guess_part` of 1.
 
         Args:
             service: Service of the role.
             uses: Usage admitted by this scheduler.
             next_vms: VMs that may take over the role.
-            guess_part: Part of the limits that this scheduler assumes as used, because
-                it could not read the record.
+            guess_part: Share of each limit that this scheduler assumes to be used up,
+                because it could not read the record.
         """
         next_vms = set(next_vms)
         self._drop_expired(self._clock.now_ms())
@@ -136,8 +136,9 @@
             uses: The usage.
             adds: Whether it adds to the earlier reports, or replaces them.
             account: Account of the usage, by default that of this incarnation.
-            guess_part: Part of the limits that the scheduler assumes as used, because
-                it could not read the record; None for a gateway without a scheduler.
+            guess_part: Share of each limit that the scheduler assumes to be used up,
+                because it could not read the record; None for a gateway without a
+                scheduler.
         """
         account = account or account_name(self._vm_id, self._incarnation)
         message = UsesTold(
@@ -175,16 +176,16 @@
         own = account_name(self._vm_id, self._incarnation)
         if account == own or account.startswith(f"{own}/"):
             return
-        known_ms = _min_age_ms(
+        known_age_ms = _min_age_ms(
             _with_current_age(self._usage_by_source.get(source, ()), now_ms)
         )
-        if _min_age_ms(_with_current_age(timed_uses, now_ms)) < known_ms:
+        if _min_age_ms(_with_current_age(timed_uses, now_ms)) < known_age_ms:
             self._usage_by_source[source] = timed_uses
 
     def guess_part(self, service: str) -> float:
-        """Return the part of the limits that the previous scheduler assumed as used.
+        """Return the share of each limit that the last scheduler assumed to be used up.
 
-        The rest is known from its reports. Returns 1 without a recent report.
+        Other usage is known from its reports. Returns 1 without a recent report.
         """
         reported_ms, part = self._guess_reports.get(service, (-inf, 1.0))
         return part if self._clock.now_ms() - reported_ms < REPORT_MAX_AGE_MS else 1.0
@@ -197,11 +198,11 @@
             accounts.setdefault(use.source, []).append((now_ms, use))
         for source, uses in accounts.items():
             self._store_relayed(source, uses, now_ms)
-        self._has_read = True
+        self._has_read_record = True
 
     def consume_record_read(self) -> bool:
         """Return whether a record was read since the last call."""
-        has_read, self._has_read = self._has_read, False
+        has_read, self._has_read_record = self._has_read_record, False
         return has_read
 
     def merge(self, recorded: Sequence[Use]) -> list[Use]:
--- a/src/pomelolane/forwarding/usage_publisher.py
+++ b/src/pomelolane/forwarding/usage_publisher.py
@@ -26,7 +26,7 @@
 FULL_REPORT_TICKS = 20
 """Ticks between full reports."""
 
-REPORT_SHARE = 0.05
+MAX_UNREPORTED_SHARE = 0.05
 """Part of a limit's permitted overshoot that may go unreported for more than a tick."""
 
 
@@ -82,12 +82,12 @@
             if full or new_receivers:
                 account.take_news()
                 self._send(service, receivers, account.uses(), guess_part=part)
-            elif account.untold_share() >= REPORT_SHARE:
+            elif account.untold_share() >= MAX_UNREPORTED_SHARE:
                 increments = account.take_news()
                 self._send(service, receivers, increments, adds=True, guess_part=part)
 
     def _new_receivers(self, service: str, receivers: frozenset[str]) -> set[str]:
-        """Return the receivers that got no report yet in their current incarnation."""
+        """Return the receivers that are new or restarted since the last call."""
         previous = self._receiver_incarnations.get(service, {})
         incarnations = {vm: self._coordination.incarnation_of(vm) for vm in receivers}
         self._receiver_incarnations[service] = incarnations
@@ -141,8 +141,8 @@
             receivers: VMs to send to.
             uses: The usage.
             adds: Whether it adds to the earlier reports, or replaces them.
-            guess_part: Part of the limits that the scheduler assumes as used, because
-                it could not read the record; None for what the gateway admitted
+            guess_part: Share of each limit that the scheduler assumes to be used up,
+                because it could not read the record; None for what the gateway admitted
                 without a scheduler.
         """
         _, account = self._usage_exchange.own_source(service)
@@ -157,11 +157,12 @@
     def _apply_usage(
         self, source: tuple[str, str], uses: list[Use], adds: bool
     ) -> None:
+        """Count reported usage in the other scheduler roles of this VM."""
         for desk in self._desks_except(source):
             desk.account.hear(source, uses, adds=adds)
 
     def _desks_except(self, source: tuple[str, str]) -> list[Desk]:
-        """Return the desks of this VM except the one that `source` belongs to."""
+        """Return the desks of the services scheduled here, except that of `source`."""
         desks = self._coordination.role.desks()
         return [
             desk
