--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -272,7 +272,7 @@
         if remaining_ms <= 0:
             raise TimeoutError
         state.run = self._crashes.begin(call.fingerprint, endpoint)
-        may_have_run, state.may_have_run = state.may_have_run, True
+        may_have_run_before, state.may_have_run = state.may_have_run, True
         state.sends += 1
         watch.dispatched()
         request_log.sent(
@@ -288,7 +288,7 @@
             )
         except EndpointRefusedError as error:
             state.run.settle()
-            state.may_have_run = may_have_run
+            state.may_have_run = may_have_run_before
             state.sends -= 1
             raise refused_by_endpoint(state, watch, str(error)) from error
         except FirstByteTimeoutError as error:
@@ -302,7 +302,7 @@
         self._notice_handler.handle(endpoint, sent.notice, watch)
         if sent.verdict is Verdict.NOT_RUN:
             state.run.settle()
-            state.may_have_run = may_have_run
+            state.may_have_run = may_have_run_before
             await sent.stream.aclose()
             raise refused_by_endpoint(state, watch, "the endpoint did not run it")
         await self._relay_answer(state, relay, sent, watch, endpoint)
--- a/src/pomelolane/forwarding/relay.py
+++ b/src/pomelolane/forwarding/relay.py
@@ -121,7 +121,7 @@
                 self._state.last_event_id = (
                     event_buffer.last_id or self._state.last_event_id
                 )
-            await self._begin(stream)
+            await self._send_head(stream)
             await self._send_body(data, more=True)
             size += len(data)
             chunks += 1
@@ -131,11 +131,12 @@
             last_ms = now_ms
         if stream.error is not None:
             return RelayResult(False, size, chunks, gap_ms)
-        await self._begin(stream)
+        await self._send_head(stream)
         await self._send_body(b"", more=False)
         return RelayResult(True, size, chunks, gap_ms)
 
-    async def _begin(self, stream: AnswerStream) -> None:
+    async def _send_head(self, stream: AnswerStream) -> None:
+        """Send the head of the answer, unless an earlier attempt has sent one."""
         if self._state.answer_begun:
             return
         self._state.answer_begun = True
--- a/src/pomelolane/forwarding/tree.py
+++ b/src/pomelolane/forwarding/tree.py
@@ -13,6 +13,7 @@
     from pomelolane.model import Endpoint
 
 _BRANCH = "routes"
+"""Branch of the settings tree that carries the version of the configuration."""
 
 
 def tree_from_configuration(
--- a/src/pomelolane/forwarding/usage_exchange.py
+++ b/src/pomelolane/forwarding/usage_exchange.py
@@ -193,10 +193,10 @@
     def cache_recorded(self, recorded: Sequence[Use]) -> None:
         """Keep recorded usage, to relay it to schedulers that cannot read the store."""
         now_ms = self._clock.now_ms()
-        accounts: dict[tuple[str, str], list[tuple[float, Use]]] = {}
+        uses_by_source: dict[tuple[str, str], list[tuple[float, Use]]] = {}
         for use in recorded:
-            accounts.setdefault(use.source, []).append((now_ms, use))
-        for source, uses in accounts.items():
+            uses_by_source.setdefault(use.source, []).append((now_ms, use))
+        for source, uses in uses_by_source.items():
             self._store_relayed(source, uses, now_ms)
         self._has_read_record = True
 
@@ -209,14 +209,14 @@
         """Merge recorded usage with reports; the newer one of each source counts."""
         now_ms = self._clock.now_ms()
         self._drop_expired(now_ms)
-        accounts: dict[tuple[str, str], list[Use]] = {}
+        uses_by_source: dict[tuple[str, str], list[Use]] = {}
         for use in recorded:
-            accounts.setdefault(use.source, []).append(use)
+            uses_by_source.setdefault(use.source, []).append(use)
         for source, timed_uses in self._usage_by_source.items():
             reported = _with_current_age(timed_uses, now_ms)
-            if _min_age_ms(reported) <= _min_age_ms(accounts.get(source, ())):
-                accounts[source] = reported
-        uses = chain.from_iterable(accounts.values())
+            if _min_age_ms(reported) <= _min_age_ms(uses_by_source.get(source, ())):
+                uses_by_source[source] = reported
+        uses = chain.from_iterable(uses_by_source.values())
         return [use for use in uses if use.age_ms < USE_MAX_AGE_MS]
 
     def _drop_expired(self, now_ms: float) -> None:
