--- a/src/pomelolane/forwarding/forwarder.py
+++ b/src/pomelolane/forwarding/forwarder.py
@@ -105,6 +105,11 @@
         crashes: Checks whether endpoints with broken connections have crashed.
         clock: Source of the current time.
         data_centre: Data centre of this VM.
+
+    Attributes:
+        open_calls: Requests that are not finished yet, by local id.
+        timeouts: Time limits of the open requests.
+        draining: Whether callers' connections are closed after the answer.
     """
 
     def __init__(
@@ -136,7 +141,7 @@
         self.timeouts = Timeouts(clock)
         self.draining = False
         self._stop_at_ms = math.inf
-        self._accepts_short_requests = True
+        self._accepts_until_stop = True
         self._request_ended = asyncio.Event()
 
     def set_stop_time(self, at_ms: float) -> None:
@@ -152,7 +157,7 @@
         open_at_start = set(self.open_calls)
         while open_at_start & self.open_calls.keys():
             await self._wait_for_next_end()
-        self._accepts_short_requests = False
+        self._accepts_until_stop = False
         while self.open_calls:
             await self._wait_for_next_end()
 
@@ -165,7 +170,7 @@
         if math.isinf(self._stop_at_ms):
             return True
         return (
-            self._accepts_short_requests
+            self._accepts_until_stop
             and self._clock.now_ms() + limit_ms < self._stop_at_ms
         )
 
@@ -267,7 +272,7 @@
         if remaining_ms <= 0:
             raise TimeoutError
         state.run = self._crashes.begin(call.fingerprint, endpoint)
-        may_have_run, state.may_have_run = state.may_have_run, True
+        may_have_run_before, state.may_have_run = state.may_have_run, True
         state.sends += 1
         watch.note_dispatch()
         request_log.sent(
@@ -283,7 +288,7 @@
             )
         except EndpointRefusedError as error:
             state.run.settle()
-            state.may_have_run = may_have_run
+            state.may_have_run = may_have_run_before
             state.sends -= 1
             raise refused_by_endpoint(state, watch, str(error)) from error
         except FirstByteTimeoutError as error:
@@ -297,7 +302,7 @@
         self._notice_handler.handle(endpoint, sent.notice, watch)
         if sent.verdict is Verdict.NOT_RUN:
             state.run.settle()
-            state.may_have_run = may_have_run
+            state.may_have_run = may_have_run_before
             await sent.stream.aclose()
             raise refused_by_endpoint(state, watch, "the endpoint did not run it")
         await self._relay_answer(state, relay, sent, watch, endpoint)
