--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -116,17 +116,17 @@
         """
         role = self._coordination.role
         for service in list(role.service_queues()):
-            desk = role.service_queue(service)
-            if desk is None:
+            service_queue = role.service_queue(service)
+            if service_queue is None:
                 continue
-            if only_due and not self._is_due(service, desk):
+            if only_due and not self._is_due(service, service_queue):
                 continue
-            uses = desk.account.uses()
+            uses = service_queue.account.uses()
             # Skip an empty record that follows an empty one.
             if not uses and not self._saved_nonempty.get(service, False):
                 continue
             self._saved_nonempty[service] = bool(uses)
-            desk.account.mark_recorded()
+            service_queue.account.mark_recorded()
             self._unsaved.add(service)
             try:
                 await self._record.save(service, uses)
@@ -135,10 +135,10 @@
             else:
                 self._unsaved.discard(service)
 
-    def _is_due(self, service: str, desk: ServiceQueue) -> bool:
+    def _is_due(self, service: str, service_queue: ServiceQueue) -> bool:
         if service in self._unsaved:
             return True
-        return desk.account.unrecorded_share() >= MAX_UNRECORDED_SHARE
+        return service_queue.account.unrecorded_share() >= MAX_UNRECORDED_SHARE
 
     def _on_role_taken(self, service: str) -> None:
         """Count reported usage, and load the records unless a load is scheduled."""
@@ -152,10 +152,12 @@
 
     def _count_reported(self, service: str) -> None:
         """Count the previous scheduler's reports until the record is read."""
-        desk = self._coordination.role.service_queue(service)
+        service_queue = self._coordination.role.service_queue(service)
         guess_part = self._usage_exchange.guess_part(service)
-        if desk is not None and guess_part < 1.0:
-            desk.account.take_uses(self._known_uses(service, ()), guess_part=guess_part)
+        if service_queue is not None and guess_part < 1.0:
+            service_queue.account.take_uses(
+                self._known_uses(service, ()), guess_part=guess_part
+            )
 
     def _known_uses(self, service: str, recorded: Sequence[TokenUse]) -> list[TokenUse]:
         """Return the usage known from the record, from reports and on this VM."""
@@ -182,8 +184,8 @@
     def retry_reads(self) -> None:
         """Retry reading the record for services whose limits are guessed without it."""
         for service, ticks in list(self._read_retry_ticks.items()):
-            desk = self._coordination.role.service_queue(service)
-            if desk is None or not desk.account.guess_part():
+            service_queue = self._coordination.role.service_queue(service)
+            if service_queue is None or not service_queue.account.guess_part():
                 del self._read_retry_ticks[service]
             elif ticks:
                 self._read_retry_ticks[service] = ticks - 1
@@ -215,24 +217,24 @@
             self._read_retry_ticks.pop(service, None)
         else:
             self._read_retry_ticks[service] = READ_RETRY_TICKS
-        desk = self._coordination.role.service_queue(service)
-        if desk is None:
+        service_queue = self._coordination.role.service_queue(service)
+        if service_queue is None:
             return
         # A report does not replace the record: other usage may not have been reported.
         guess_part = 0.0 if is_read else self._usage_exchange.guess_part(service)
-        desk.account.take_uses(uses, guess_part=guess_part)
+        service_queue.account.take_uses(uses, guess_part=guess_part)
         tokens = sum(use.tokens for use in uses)
         log_event(events.LEDGER_LOADED, service=service, tokens=tokens)
         if not is_read:
-            self._log_guess(service, desk)
+            self._log_guess(service, service_queue)
 
-    def _log_guess(self, service: str, desk: ServiceQueue) -> None:
-        guessed = desk.account.guessed()
+    def _log_guess(self, service: str, service_queue: ServiceQueue) -> None:
+        guessed = service_queue.account.guessed()
         if guessed:
             log_event(
                 events.LIMITS_GUESSED,
                 service=service,
-                part=desk.account.guess_part(),
+                part=service_queue.account.guess_part(),
                 organisations=len(guessed),
             )
 
@@ -242,7 +244,7 @@
             replace(
                 use, service=other, scheduler=self._usage_exchange.own_source(other)[1]
             )
-            for other, desk in self._coordination.role.service_queues().items()
+            for other, service_queue in self._coordination.role.service_queues().items()
             if other != service
-            for use in desk.account.uses()
+            for use in service_queue.account.uses()
         ]
--- a/src/pomelolane/forwarding/usage_publisher.py
+++ b/src/pomelolane/forwarding/usage_publisher.py
@@ -62,22 +62,22 @@
         Args:
             full: Send all usage instead of increments.
         """
-        desks = self._coordination.role.service_queues()
-        for service in self._receiver_incarnations.keys() - desks.keys():
+        service_queues = self._coordination.role.service_queues()
+        for service in self._receiver_incarnations.keys() - service_queues.keys():
             del self._receiver_incarnations[service]
         if self._usage_exchange.consume_record_read():
             # Successors may be unable to read the record that was read here, so
             # everything known is relayed to them again.
             self._receiver_incarnations.clear()
         self._publish_private(full=full)
-        for service, desk in list(desks.items()):
+        for service, service_queue in list(service_queues.items()):
             receivers = self._receivers_of(service)
             new_receivers = self._new_receivers(service, receivers)
             if new_receivers:
                 self._usage_exchange.relay_known_usage(new_receivers)
             if not receivers:
                 continue
-            account = desk.account
+            account = service_queue.account
             part = account.guess_part()
             if full or new_receivers:
                 account.take_news()
@@ -158,14 +158,14 @@
         self, source: tuple[str, str], uses: list[TokenUse], adds: bool
     ) -> None:
         """Count reported usage in the other scheduler roles of this VM."""
-        for desk in self._desks_except(source):
-            desk.account.hear(source, uses, adds=adds)
+        for service_queue in self._service_queues_except(source):
+            service_queue.account.hear(source, uses, adds=adds)
 
-    def _desks_except(self, source: tuple[str, str]) -> list[ServiceQueue]:
-        """Return the desks of the services scheduled here, except that of `source`."""
-        desks = self._coordination.role.service_queues()
+    def _service_queues_except(self, source: tuple[str, str]) -> list[ServiceQueue]:
+        """Return the service queues scheduled here, except that of `source`."""
+        service_queues = self._coordination.role.service_queues()
         return [
-            desk
-            for service, desk in desks.items()
+            service_queue
+            for service, service_queue in service_queues.items()
             if self._usage_exchange.own_source(service) != source
         ]
--- a/src/pomelolane/rollouts/rollouts.py
+++ b/src/pomelolane/rollouts/rollouts.py
@@ -173,21 +173,21 @@
             self._tick(rollout)
 
     def _tick(self, rollout: _Rollout) -> None:
-        desk = self._coordination.role.service_queue(rollout.order.service)
-        if desk is None:
+        service_queue = self._coordination.role.service_queue(rollout.order.service)
+        if service_queue is None:
             self._abandon_trial(rollout)
             self._expire(rollout)
             return
-        if rollout.core is not desk.core:
+        if rollout.core is not service_queue.core:
             self._abandon_trial(rollout)
-            rollout.core = desk.core
+            rollout.core = service_queue.core
         if rollout.trial is None:
             if rollout.phase is Phase.UNKNOWN:
                 self._start_record_task(rollout, self._load_or_start(rollout))
             elif rollout.recorded is None:
                 self._start_record_task(rollout, self._save(rollout, rollout.phase))
             return
-        desk.core.trial = rollout.trial
+        service_queue.core.trial = rollout.trial
         rollout.trial.tick(self._record.now_ms())
         metrics.publish(rollout.order, rollout.trial)
         self._sync_with_trial(rollout, rollout.trial)
--- a/src/pomelolane/statusboard.py
+++ b/src/pomelolane/statusboard.py
@@ -80,10 +80,10 @@
     """Report an endpoint; observed speeds are known to its scheduler only."""
     running = 0
     figures = None
-    for desk in status.service_queues:
-        running += desk.running_by_endpoint.get(endpoint.endpoint_id, 0)
-        if desk.core is not None:
-            figures = desk.core.get(endpoint.endpoint_id, figures)
+    for service_queue in status.service_queues:
+        running += service_queue.running_by_endpoint.get(endpoint.endpoint_id, 0)
+        if service_queue.core is not None:
+            figures = service_queue.core.get(endpoint.endpoint_id, figures)
     leaving = (
         endpoint.leaving or endpoint.endpoint_id in parts.member.leaving_endpoints()
     )
@@ -110,9 +110,9 @@
 def _queues(parts: Parts, status: CoordinationStatus) -> dict[str, dict[str, int]]:
     names = {tier.rank: tier.name for tier in parts.tree.value.tiers.values()}
     queues: dict[str, dict[str, int]] = {}
-    for desk in status.service_queues:
-        tiers = queues.setdefault(desk.service, {})
-        for rank, waiting in desk.waiting_by_tier.items():
+    for service_queue in status.service_queues:
+        tiers = queues.setdefault(service_queue.service, {})
+        for rank, waiting in service_queue.waiting_by_tier.items():
             name = names.get(rank, NO_TIER.format(rank=rank))
             tiers[name] = tiers.get(name, 0) + waiting
     return queues
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -16,8 +16,8 @@
 SERVICE = "s"
 
 
-class FakeDesk:
-    """A desk with a share of unrecorded usage until it is marked as recorded."""
+class FakeServiceQueue:
+    """A service queue with a share of unrecorded usage until it is marked recorded."""
 
     def __init__(self, share):
         self.share = share
@@ -84,9 +84,10 @@
 
 @given("a scheduler that admitted {share:f} of an allowance since its last record")
 def step_scheduler(context, share):
-    desk = context.desk = FakeDesk(share)
+    service_queue = context.service_queue = FakeServiceQueue(share)
     context.role = SimpleNamespace(
-        service_queues=lambda: {SERVICE: desk}, service_queue=lambda service: desk
+        service_queues=lambda: {SERVICE: service_queue},
+        service_queue=lambda service: service_queue,
     )
     context.record = FakeRecord()
     context.network = FakeNetwork()
@@ -144,7 +145,7 @@
 
 @then("the new scheduler counts {tokens:d} tokens")
 def step_counts(context, tokens):
-    assert context.desk.taken == tokens, context.desk.taken
+    assert context.service_queue.taken == tokens, context.service_queue.taken
 
 
 @given("a store that fails once")
@@ -169,7 +170,7 @@
 
 @given("it admitted nothing before")
 def step_nothing(context):
-    context.desk.uses = list
+    context.service_queue.uses = list
 
 
 @then("nothing is reported to the other VMs")
--- a/tests/steps/scheduler_rate_steps.py
+++ b/tests/steps/scheduler_rate_steps.py
@@ -167,8 +167,10 @@
 
 @then("the successor keeps the endpoint's limit")
 def step_successor_knows(context):
-    desk = context.world.vms[context.successor].coordination.role.service_queue("pool")
-    assert desk.core.limited_endpoints() == {"a/1"}
+    service_queue = context.world.vms[
+        context.successor
+    ].coordination.role.service_queue("pool")
+    assert service_queue.core.limited_endpoints() == {"a/1"}
 
 
 def _hear(context, name, per_s):
