--- a/src/pomelolane/coordination/limit_account.py
+++ b/src/pomelolane/coordination/limit_account.py
@@ -14,15 +14,15 @@
 
 
 class LimitAccount:
-    """Adds the current time to the calls on a queue's limit book.
+    """Adds the current time to the calls on a queue's usage limiter.
 
     Args:
-        book: Holds the limits and what has been admitted against them.
+        limiter: Holds the limits and what has been admitted against them.
         clock: Clock of the service queue.
     """
 
-    def __init__(self, book: UsageLimiter, clock: Clock) -> None:
-        self._book = book
+    def __init__(self, limiter: UsageLimiter, clock: Clock) -> None:
+        self._limiter = limiter
         self._clock = clock
 
     def assume_used(self, spare_part: float) -> None:
@@ -31,37 +31,39 @@
         Args:
             spare_part: Part of the allowance beyond the limits that may still be used.
         """
-        self._book.assume_used(spare_part, self._clock.now_ms())
+        self._limiter.assume_used(spare_part, self._clock.now_ms())
 
     def uses(self) -> list[TokenUse]:
         """Return the usage admitted here that still counts."""
-        return self._book.uses(self._clock.now_ms())
+        return self._limiter.uses(self._clock.now_ms())
 
     def unrecorded_share(self) -> float:
         """Return the largest share of an allowance not written to the record yet."""
-        return self._book.unrecorded_share()
+        return self._limiter.unrecorded_share()
 
     def mark_recorded(self) -> None:
         """Mark all usage until now as written to the record."""
-        self._book.mark_recorded()
+        self._limiter.mark_recorded()
 
-    def untold_share(self) -> float:
+    def unreported_share(self) -> float:
         """Return the largest share of an allowance not sent to other schedulers yet."""
-        return self._book.unreported_share()
+        return self._limiter.unreported_share()
 
-    def take_news(self) -> list[TokenUse]:
+    def take_unreported(self) -> list[TokenUse]:
         """Return the usage since the last call, which then counts as sent."""
-        return self._book.take_unreported()
+        return self._limiter.take_unreported()
 
     def guess_part(self) -> float:
         """Return the part of the limits that is assumed, not known, to be used."""
-        return self._book.guess_part(self._clock.now_ms())
+        return self._limiter.guess_part(self._clock.now_ms())
 
-    def guessed(self) -> list[str]:
+    def guessed_organisations(self) -> list[str]:
         """Return the organisations whose limits are applied with assumed usage."""
-        return self._book.guessed_organisations(self._clock.now_ms())
+        return self._limiter.guessed_organisations(self._clock.now_ms())
 
-    def take_uses(self, uses: Iterable[TokenUse], *, guess_part: float = 0.0) -> None:
+    def replace_reported(
+        self, uses: Iterable[TokenUse], *, guess_part: float = 0.0
+    ) -> None:
         """Add usage admitted by other schedulers.
 
         Args:
@@ -69,9 +71,11 @@
             guess_part: Part of the limits that the senders themselves only assume to
                 be used.
         """
-        self._book.replace_reported(uses, self._clock.now_ms(), guess_part=guess_part)
+        self._limiter.replace_reported(
+            uses, self._clock.now_ms(), guess_part=guess_part
+        )
 
-    def hear(
+    def add_reported(
         self, source: tuple[str, str], uses: Iterable[TokenUse], *, adds: bool
     ) -> None:
         """Add usage that another scheduler has sent.
@@ -81,7 +85,7 @@
             uses: Usage admitted there.
             adds: Whether it adds to earlier usage of this source or replaces it.
         """
-        self._book.add_reported(source, uses, self._clock.now_ms(), adds=adds)
+        self._limiter.add_reported(source, uses, self._clock.now_ms(), adds=adds)
 
 
 def account_from_core(core: SchedulingCore, clock: Clock) -> LimitAccount:
--- a/src/pomelolane/forwarding/ledger.py
+++ b/src/pomelolane/forwarding/ledger.py
@@ -155,7 +155,7 @@
         service_queue = self._coordination.role.service_queue(service)
         guess_part = self._usage_exchange.guess_part(service)
         if service_queue is not None and guess_part < 1.0:
-            service_queue.account.take_uses(
+            service_queue.account.replace_reported(
                 self._known_uses(service, ()), guess_part=guess_part
             )
 
@@ -222,14 +222,14 @@
             return
         # A report does not replace the record: other usage may not have been reported.
         guess_part = 0.0 if is_read else self._usage_exchange.guess_part(service)
-        service_queue.account.take_uses(uses, guess_part=guess_part)
+        service_queue.account.replace_reported(uses, guess_part=guess_part)
         tokens = sum(use.tokens for use in uses)
         log_event(events.LEDGER_LOADED, service=service, tokens=tokens)
         if not is_read:
             self._log_guess(service, service_queue)
 
     def _log_guess(self, service: str, service_queue: ServiceQueue) -> None:
-        guessed = service_queue.account.guessed()
+        guessed = service_queue.account.guessed_organisations()
         if guessed:
             log_event(
                 events.LIMITS_GUESSED,
--- a/src/pomelolane/forwarding/usage_publisher.py
+++ b/src/pomelolane/forwarding/usage_publisher.py
@@ -80,10 +80,10 @@
             account = service_queue.account
             part = account.guess_part()
             if full or new_receivers:
-                account.take_news()
+                account.take_unreported()
                 self._send(service, receivers, account.uses(), guess_part=part)
-            elif account.untold_share() >= MAX_UNREPORTED_SHARE:
-                increments = account.take_news()
+            elif account.unreported_share() >= MAX_UNREPORTED_SHARE:
+                increments = account.take_unreported()
                 self._send(service, receivers, increments, adds=True, guess_part=part)
 
     def _new_receivers(self, service: str, receivers: frozenset[str]) -> set[str]:
@@ -104,8 +104,8 @@
             return
         receivers = frozenset(self._coordination.schedulers().values())
         for service, account in accounts.items():
-            if full or account.untold_share():
-                account.take_news()
+            if full or account.unreported_share():
+                account.take_unreported()
                 self._send(service, receivers, account.uses())
 
     def _receivers_of(self, service: str) -> frozenset[str]:
@@ -159,7 +159,7 @@
     ) -> None:
         """Count reported usage in the other scheduler roles of this VM."""
         for service_queue in self._service_queues_except(source):
-            service_queue.account.hear(source, uses, adds=adds)
+            service_queue.account.add_reported(source, uses, adds=adds)
 
     def _service_queues_except(self, source: tuple[str, str]) -> list[ServiceQueue]:
         """Return the service queues scheduled here, except that of `source`."""
--- a/tests/steps/forwarding_ledger_steps.py
+++ b/tests/steps/forwarding_ledger_steps.py
@@ -35,10 +35,10 @@
     def guess_part(self):
         return 0.0
 
-    def guessed(self):
+    def guessed_organisations(self):
         return []
 
-    def take_uses(self, uses, *, guess_part):
+    def replace_reported(self, uses, *, guess_part):
         self.guess_part_taken = guess_part
         self.taken = sum(use.tokens for use in uses)
 
