--- a/src/pomelolane/membership/envelope.py
+++ b/src/pomelolane/membership/envelope.py
@@ -108,7 +108,7 @@
 
 def _check_newer(known: _Sender, envelope: Envelope) -> None:
     if envelope.incarnation < known.incarnation:
-        raise TransportError("message from an earlier start of the sender")
+        raise TransportError("message of an earlier start")
     same_start = envelope.incarnation == known.incarnation
     if same_start and envelope.sequence <= known.sequence:
-        raise TransportError("replayed message")
+        raise TransportError("message repeated")
--- a/tests/membership/transport.feature
+++ b/tests/membership/transport.feature
@@ -38,12 +38,12 @@
     When transport "b" sends a key query to "a"
     Then transport "a" has received that query from "b"
     When the earlier start of "b" sends a frame to transport "a"
-    Then transport "a" rejects it as "message from an earlier start of the sender"
+    Then transport "a" rejects it as "message of an earlier start"
 
   Scenario: A replayed frame is rejected
     Given a transport pair with own keys
     When "b" sends the same frame twice to transport "a"
-    Then transport "a" rejects it as "replayed message"
+    Then transport "a" rejects it as "message repeated"
 
   Scenario: A VM cannot impersonate another one
     Given a transport pair with own keys
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -230,7 +230,7 @@
     assert transport.rejected == 1
     assert transport.last_rejection == error, transport.last_rejection
     raw = [query for _, query in recorder.queries if query.query_id == "raw"]
-    assert len(raw) == (1 if error == "replayed message" else 0)
+    assert len(raw) == (1 if error == "message repeated" else 0)
 
 
 @when('a peer {kind} sends a frame to transport "a"')
