--- a/bench/checkouts.py
+++ b/bench/checkouts.py
@@ -29,6 +29,7 @@
 from standins.routed.vm import PlatformVm
 
 if TYPE_CHECKING:
+    from asyncio.subprocess import Process
     from collections.abc import Sequence
 
     from standins.routed.vm import Answer
@@ -120,6 +121,7 @@
         self.lost: list[str] = []
         self.rejected: Counter[str] = Counter()
         self.changes = 0
+        self.killed: list[Process] = []
         self.drawn = random.Random(1)
 
     async def start(self) -> None:
@@ -172,7 +174,7 @@
                 if answer.status != _OK:
                     self.lost.append(f"{mark}: {answer.status} {answer.body[:80]!r}")
                 return
-            if process.returncode != -signal.SIGKILL:
+            if process not in self.killed:
                 self.lost.append(f"{mark}: no whole answer of {vm.vm_id}")
                 return
             self.again += 1
@@ -211,6 +213,7 @@
     async def stop(self, vm: PlatformVm, *, kills: bool = False) -> None:
         """End a VM's process and read what it has rejected."""
         if kills:
+            self.killed.append(vm.process)
             vm.signal(signal.SIGKILL)
         else:
             await asyncio.sleep(ROTATION_S)
